--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -17,7 +17,7 @@
 
 use sailtrack_admission::Pressure;
 use sailtrack_kernel::Service;
-use sailtrack_quarantine::{Identity, Ran};
+use sailtrack_quarantine::{Execution, Identity};
 use sailtrack_units::{Class, KindName, Rank, WorkspaceName};
 
 use crate::key::{AttemptKey, UpstreamKey};
@@ -121,11 +121,11 @@
 
 impl Context {
     /// Returns what is told of it if the upstream crashes now.
-    pub(crate) fn ran(&self) -> Ran {
-        Ran {
+    pub(crate) fn ran(&self) -> Execution {
+        Execution {
             identity: self.identity,
-            known: self.known_crashes,
-            is_familiar: false,
+            known_crashes: self.known_crashes,
+            succeeded_recently: false,
         }
     }
 
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -116,7 +116,7 @@
                 last = Some(Returned::refused(Reason::Quarantined));
                 break;
             }
-            work.known_crashes = standing.known();
+            work.known_crashes = standing.known_crashes();
             let Some(target) = self.choose(&work, standing, &mut tries) else {
                 break;
             };
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -186,7 +186,7 @@
     /// sender may know less.
     fn begin_trial(&self, work: &mut Work) -> Result<Option<Turn>, Reason> {
         let standing = self.quarantine.standing(&work.identity);
-        work.known_crashes = work.known_crashes.max(standing.known());
+        work.known_crashes = work.known_crashes.max(standing.known_crashes());
         match standing {
             Standing::Clear | Standing::Suspected { .. } => Ok(None),
             Standing::OnTrial { .. } => {
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -6,7 +6,7 @@
 
 use futures::channel::mpsc;
 use monoio::time::sleep;
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 use sailtrack_units::{ConfigVersion, Era, Moment, NodeName};
 use sailtrack_wire::{Evidence, Member as MemberMessage, Presence};
 
@@ -95,7 +95,7 @@
         self.quarantine.take(evidence);
     }
 
-    fn take_lost(&self, upstream: &UpstreamKey, ran: &[Ran]) {
+    fn take_lost(&self, upstream: &UpstreamKey, ran: &[Execution]) {
         if !self.retired.contains(upstream) {
             self.quarantine.note_lost(upstream, ran);
         }
--- a/crates/mesh/src/peer/link/lost.rs
+++ b/crates/mesh/src/peer/link/lost.rs
@@ -7,7 +7,7 @@
 
 use std::cell::RefCell;
 
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 
 use crate::key::UpstreamKey;
 
@@ -16,12 +16,12 @@
 
 /// The requests that were lost together with a node.
 #[derive(Debug, Default)]
-pub(super) struct Lost(RefCell<Option<(UpstreamKey, Vec<Ran>)>>);
+pub(super) struct Lost(RefCell<Option<(UpstreamKey, Vec<Execution>)>>);
 
 impl Lost {
     /// Keeps the requests that had been sent to this life of the upstream.
-    pub(super) fn keep(&self, upstream: &str, ran: impl Iterator<Item = Ran>) {
-        let ran: Vec<Ran> = ran.take(MOST_KEPT).collect();
+    pub(super) fn keep(&self, upstream: &str, ran: impl Iterator<Item = Execution>) {
+        let ran: Vec<Execution> = ran.take(MOST_KEPT).collect();
         // Without a name the node never said what stands beside it, so nothing was sent there.
         let Ok(upstream) = upstream.parse() else {
             return;
@@ -33,7 +33,7 @@
 
     /// Takes in which life stands there now; returns the earlier one, with the requests, if it is
     /// another one.
-    pub(super) fn settle(&self, present: &str) -> Option<(UpstreamKey, Vec<Ran>)> {
+    pub(super) fn settle(&self, present: &str) -> Option<(UpstreamKey, Vec<Execution>)> {
         let present: UpstreamKey = present.parse().ok()?;
         let (upstream, ran) = self.0.take()?;
         (!upstream.is_same_life(&present)).then_some((upstream, ran))
--- a/crates/mesh/src/peer/link/mod.rs
+++ b/crates/mesh/src/peer/link/mod.rs
@@ -16,7 +16,7 @@
 use futures::SinkExt as _;
 use futures::channel::{mpsc, oneshot};
 use monoio::time::{sleep, timeout};
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 use sailtrack_units::{ConfigVersion, Incarnation, Moment, Pace};
 use sailtrack_wire::{
     Body, Cancel, Chunk, Config, Fetch, Grant, Presence, Reason, Recall, Reply, Retire, State,
@@ -42,7 +42,7 @@
 /// What waits for a message of the other node.
 enum Pending {
     /// The request that it is the reply to, unless that was sent earlier.
-    Reply(oneshot::Sender<Returned>, Option<Ran>),
+    Reply(oneshot::Sender<Returned>, Option<Execution>),
     Retired(oneshot::Sender<()>),
 }
 
@@ -201,10 +201,10 @@
     /// Sends a request and waits for what becomes of it; dropping the future cancels it.
     pub(crate) async fn forward(&self, work: &Work) -> Delivery {
         let life = self.life.get();
-        let ran = Ran {
+        let ran = Execution {
             identity: work.identity,
-            known: work.known_crashes,
-            is_familiar: false,
+            known_crashes: work.known_crashes,
+            succeeded_recently: false,
         };
         let (exchange, receiver) = self.begin_reply(Some(ran));
         let guard = CancelGuard {
@@ -305,7 +305,7 @@
         exchange
     }
 
-    fn begin_reply(&self, ran: Option<Ran>) -> (u64, oneshot::Receiver<Returned>) {
+    fn begin_reply(&self, ran: Option<Execution>) -> (u64, oneshot::Receiver<Returned>) {
         let exchange = self.next();
         let (sender, receiver) = oneshot::channel();
         let pending = Pending::Reply(sender, ran);
--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -12,7 +12,7 @@
 use monoio::time::sleep;
 use sailtrack_net::frames::{FrameReader, hello, write_frames};
 use sailtrack_net::{runtime, task};
-use sailtrack_quarantine::{Caller, Hasher, Ran};
+use sailtrack_quarantine::{Caller, Execution, Hasher};
 use sailtrack_units::{Class, Era, Incarnation, Moment, NodeName, Rank};
 use sailtrack_wire::{Body, Evidence, Member as MemberMessage, Pong, Presence, State};
 
@@ -51,7 +51,7 @@
 
     fn take_evidence(&self, _evidence: &Evidence) {}
 
-    fn take_lost(&self, _upstream: &UpstreamKey, _ran: &[Ran]) {}
+    fn take_lost(&self, _upstream: &UpstreamKey, _ran: &[Execution]) {}
 }
 
 fn member(address: std::net::SocketAddr) -> Member {
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -17,7 +17,7 @@
 use rand::seq::IteratorRandom as _;
 use sailtrack_kernel::Service;
 use sailtrack_net::task;
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 use sailtrack_units::{DomainName, Era, Incarnation, Moment, NodeName, ServiceName};
 use sailtrack_wire::{Evidence, Member as MemberMessage, Presence};
 
@@ -57,7 +57,7 @@
     fn take_evidence(&self, evidence: &Evidence);
 
     /// Takes in that a life of an upstream ended unannounced, with these requests of this node.
-    fn take_lost(&self, upstream: &UpstreamKey, ran: &[Ran]);
+    fn take_lost(&self, upstream: &UpstreamKey, ran: &[Execution]);
 }
 
 /// The links to the nodes of one service.
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -11,7 +11,7 @@
 
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_quarantine::{Crash, Identity, Ledger, Ran, Record, Standing};
+use sailtrack_quarantine::{Crash, Execution, Identity, Ledger, Record, Standing};
 use sailtrack_wire::{Body, Evidence};
 
 use crate::clock;
@@ -63,13 +63,13 @@
         self.metrics.note_crash();
         let now = clock::now();
         let ledger = self.ledger.borrow();
-        let ran = ran.iter().map(|one| Ran {
-            is_familiar: ledger.is_familiar(&one.identity, now),
+        let ran = ran.iter().map(|one| Execution {
+            succeeded_recently: ledger.succeeded_recently(&one.identity, now),
             ..one.ran()
         });
-        let mut ran: Vec<Ran> = ran.collect();
+        let mut ran: Vec<Execution> = ran.collect();
         drop(ledger);
-        ran.sort_by_key(|one| std::cmp::Reverse(one.known));
+        ran.sort_by_key(|one| std::cmp::Reverse(one.known_crashes));
         let is_whole = ran.len() <= MOST_REPORTED;
         ran.truncate(MOST_REPORTED);
         self.take_crash(&upstream.to_string(), &ran, is_whole);
@@ -79,7 +79,7 @@
 
     /// Takes in that a life of an upstream beside another node ended under requests that this one
     /// had sent there, since the other node ended as well and could not tell.
-    pub(crate) fn note_lost(&self, upstream: &UpstreamKey, ran: &[Ran]) {
+    pub(crate) fn note_lost(&self, upstream: &UpstreamKey, ran: &[Execution]) {
         self.take_crash(&upstream.to_string(), ran, false);
         self.status
             .tell(&Body::Evidence(wire::crash(upstream, ran, false)));
@@ -90,8 +90,8 @@
         let before = self
             .ledger
             .borrow_mut()
-            .note_good_end(identity, clock::now());
-        if before.is_grave() {
+            .record_success(identity, clock::now());
+        if before.is_restricted() {
             self.events.note_cleared(identity, &"it ended well");
             self.status.tell(&Body::Evidence(wire::cleared(identity)));
         }
@@ -100,7 +100,7 @@
     /// Takes in that the own upstream answered a request.
     pub(crate) fn note_answered(&self, identity: &Identity) {
         let mut ledger = self.ledger.borrow_mut();
-        ledger.note_familiar(identity, clock::now());
+        ledger.remember_success(identity, clock::now());
     }
 
     /// Clears a request on an operator's word; returns true if something was held against it.
@@ -126,13 +126,13 @@
             }
         }
         for record in &held {
-            ledger.take(record, now);
+            ledger.merge(record, now);
         }
     }
 
     /// Returns what a node that connects is to know, if there is anything.
     pub(crate) fn introduction(&self) -> Option<Body> {
-        let records = self.ledger.borrow().to_tell(clock::now());
+        let records = self.ledger.borrow().snapshot(clock::now());
         (!records.is_empty()).then(|| Body::Evidence(wire::held(&records)))
     }
 
@@ -144,25 +144,25 @@
     /// Returns how many requests are suspected, on trial or in quarantine, and in quarantine.
     pub(crate) fn counts(&self) -> (usize, usize) {
         let ledger = self.ledger.borrow();
-        (ledger.len(), ledger.quarantined(clock::now()))
+        (ledger.len(), ledger.quarantined_count(clock::now()))
     }
 
-    fn take_crash(&self, life: &str, ran: &[Ran], is_whole: bool) {
+    fn take_crash(&self, incarnation: &str, in_flight: &[Execution], is_complete: bool) {
         let crash = Crash {
-            life,
-            ran,
-            is_whole,
+            incarnation,
+            in_flight,
+            is_complete,
         };
-        let verdicts = self.ledger.borrow_mut().note_crash(crash, clock::now());
+        let verdicts = self.ledger.borrow_mut().record_crash(crash, clock::now());
         for identity in verdicts {
             let standing = self.standing(&identity);
-            if let Standing::Quarantined { left } = standing {
+            if let Standing::Quarantined { remaining } = standing {
                 emit(
                     &catalogue::REQUEST_QUARANTINED,
                     &[
                         ("identity", &identity),
-                        ("upstream", &life),
-                        ("time_s", &left.as_secs()),
+                        ("upstream", &incarnation),
+                        ("time_s", &remaining.as_secs()),
                     ],
                 );
                 self.metrics.note_verdict();
--- a/crates/mesh/src/quarantine/wire.rs
+++ b/crates/mesh/src/quarantine/wire.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use sailtrack_quarantine::{Identity, Ran, Record};
+use sailtrack_quarantine::{Execution, Identity, Record};
 use sailtrack_wire::{Evidence, Held, Ran as RanMessage};
 
 use crate::key::UpstreamKey;
@@ -11,16 +11,16 @@
 /// A crash that another node tells of.
 pub(super) struct ToldCrash {
     pub(super) life: String,
-    pub(super) ran: Vec<Ran>,
+    pub(super) ran: Vec<Execution>,
     pub(super) is_whole: bool,
 }
 
 /// Returns the message that tells of a crash.
-pub(super) fn crash(upstream: &UpstreamKey, ran: &[Ran], is_whole: bool) -> Evidence {
+pub(super) fn crash(upstream: &UpstreamKey, ran: &[Execution], is_whole: bool) -> Evidence {
     let ran = ran.iter().map(|one| RanMessage {
         identity: bytes(&one.identity),
-        known: u32::from(one.known),
-        familiar: one.is_familiar,
+        known: u32::from(one.known_crashes),
+        familiar: one.succeeded_recently,
     });
     Evidence {
         upstream: upstream.to_string(),
@@ -42,11 +42,11 @@
 pub(super) fn held(records: &[Record]) -> Evidence {
     let held = records.iter().map(|record| Held {
         identity: bytes(&record.identity),
-        generation: u32::from(record.generation),
+        generation: u32::from(record.consecutive_crashes),
         age_ms: millis(record.age),
-        left_ms: millis(record.left),
-        failed: u32::from(record.failed),
-        familiar: record.is_familiar,
+        left_ms: millis(record.remaining),
+        failed: u32::from(record.quarantine_count),
+        familiar: record.succeeded_recently,
     });
     Evidence {
         held: held.collect(),
@@ -57,10 +57,10 @@
 /// Returns what a message tells; what is no identity here names no request.
 pub(super) fn read(evidence: &Evidence) -> (Option<ToldCrash>, Vec<Identity>, Vec<Record>) {
     let ran = evidence.ran.iter().filter_map(|one| {
-        Some(Ran {
+        Some(Execution {
             identity: Identity::from_bytes(&one.identity)?,
-            known: small(one.known),
-            is_familiar: one.familiar,
+            known_crashes: small(one.known),
+            succeeded_recently: one.familiar,
         })
     });
     let crash = (!evidence.upstream.is_empty()).then(|| ToldCrash {
@@ -73,11 +73,11 @@
     let held = evidence.held.iter().filter_map(|held| {
         Some(Record {
             identity: Identity::from_bytes(&held.identity)?,
-            generation: small(held.generation),
+            consecutive_crashes: small(held.generation),
             age: Duration::from_millis(held.age_ms),
-            left: Duration::from_millis(held.left_ms),
-            failed: small(held.failed),
-            is_familiar: held.familiar,
+            remaining: Duration::from_millis(held.left_ms),
+            quarantine_count: small(held.failed),
+            succeeded_recently: held.familiar,
         })
     });
     (crash, cleared.collect(), held.collect())
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -112,9 +112,9 @@
             format!(
                 "{} crashes={} last_s={} left_s={}\n",
                 record.identity,
-                record.generation,
+                record.consecutive_crashes,
                 record.age.as_secs(),
-                record.left.as_secs()
+                record.remaining.as_secs()
             )
         });
         lines.collect()
--- a/crates/mesh/src/wake/tests.rs
+++ b/crates/mesh/src/wake/tests.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use sailtrack_net::runtime;
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 use sailtrack_units::{Era, Moment, NodeName};
 use sailtrack_wire::{Evidence, Member as MemberMessage, Presence};
 
@@ -37,7 +37,7 @@
 
     fn take_evidence(&self, _evidence: &Evidence) {}
 
-    fn take_lost(&self, _upstream: &UpstreamKey, _ran: &[Ran]) {}
+    fn take_lost(&self, _upstream: &UpstreamKey, _ran: &[Execution]) {}
 }
 
 fn wake() -> Wake {
--- a/crates/model/src/crashes.rs
+++ b/crates/model/src/crashes.rs
@@ -11,7 +11,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
-use sailtrack_quarantine::{Caller, Crash, Hasher, Identity, Ledger, Ran, Standing};
+use sailtrack_quarantine::{Caller, Crash, Execution, Hasher, Identity, Ledger, Standing};
 use sailtrack_units::Moment;
 
 /// How long a run takes on average, in seconds,
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Running {
     caller: usize,
-    ran: Ran,
+    ran: Execution,
     on_trial: bool,
 }
 
@@ -217,10 +217,10 @@
         };
         let running = Running {
             caller,
-            ran: Ran {
+            ran: Execution {
                 identity: request.identity,
-                known: standing.known(),
-                is_familiar: false,
+                known_crashes: standing.known_crashes(),
+                succeeded_recently: false,
             },
             on_trial: standing.is_on_trial(),
         };
@@ -275,7 +275,7 @@
         let running = &mut self.upstreams[upstream].running;
         running.retain(|running| running.caller != caller);
         let now = self.moment();
-        self.ledger.note_good_end(&request.identity, now);
+        self.ledger.record_success(&request.identity, now);
         self.callers[caller] = self.ordinary();
         self.schedule(0.0, Event::Send { caller });
     }
@@ -286,13 +286,13 @@
         upstream.life += 1;
         let running = std::mem::take(&mut upstream.running);
         let name = format!("{place}-{}", upstream.life);
-        let ran: Vec<Ran> = running.iter().map(|running| running.ran).collect();
+        let ran: Vec<Execution> = running.iter().map(|running| running.ran).collect();
         let crash = Crash {
-            life: &name,
-            ran: &ran,
-            is_whole: true,
+            incarnation: &name,
+            in_flight: &ran,
+            is_complete: true,
         };
-        let verdicts = self.ledger.note_crash(crash, self.moment());
+        let verdicts = self.ledger.record_crash(crash, self.moment());
         for running in &running {
             let request = self.callers[running.caller];
             if !request.is_harmful {
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -32,7 +32,7 @@
 use crate::familiar::Familiar;
 use crate::identity::{Caller, Identity};
 use crate::standing::Standing;
-pub(crate) use entry::{Beside, Entry, life_number};
+pub(crate) use entry::{Beside, Entry, incarnation_hash};
 pub use record::Record;
 
 /// How long a request without a verdict is remembered: callers that send one again do so after
@@ -51,24 +51,24 @@
 
 /// One request that ran when an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ran {
+pub struct Execution {
     /// The request.
     pub identity: Identity,
     /// The generation of crashes that was known when it was sent.
-    pub known: u8,
+    pub known_crashes: u8,
     /// It ended well lately where the upstream crashed.
-    pub is_familiar: bool,
+    pub succeeded_recently: bool,
 }
 
 /// The end of a life of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Crash<'a> {
     /// Names the life; several nodes may tell of the same one.
-    pub life: &'a str,
+    pub incarnation: &'a str,
     /// What ran there, as far as the teller knows.
-    pub ran: &'a [Ran],
+    pub in_flight: &'a [Execution],
     /// Nothing else ran there.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// What is held against requests.
@@ -95,7 +95,7 @@
 
     /// Returns how many requests are in quarantine.
     #[must_use]
-    pub fn quarantined(&self, now: Moment) -> usize {
+    pub fn quarantined_count(&self, now: Moment) -> usize {
         let all = self.entries.values();
         all.filter(|entry| entry.standing(now).is_quarantined())
             .count()
@@ -109,25 +109,33 @@
     }
 
     /// Takes in a crash; returns the requests that are in quarantine by it.
-    pub fn note_crash(&mut self, crash: Crash<'_>, now: Moment) -> Vec<Identity> {
-        let life = life_number(crash.life);
+    pub fn record_crash(&mut self, crash: Crash<'_>, now: Moment) -> Vec<Identity> {
+        let incarnation = incarnation_hash(crash.incarnation);
         let mut verdicts = Vec::new();
-        let suspects = crash.ran.iter().filter(|ran| ran.known > 0).count();
-        let was_alone = crash.is_whole && crash.ran.len() == 1;
-        for ran in crash.ran {
+        let suspects = crash
+            .in_flight
+            .iter()
+            .filter(|execution| execution.known_crashes > 0)
+            .count();
+        let was_alone = crash.is_complete && crash.in_flight.len() == 1;
+        for execution in crash.in_flight {
             let beside = Beside {
                 was_alone,
-                had_suspects: suspects > usize::from(ran.known > 0),
+                had_suspects: suspects > usize::from(execution.known_crashes > 0),
             };
-            self.make_room(ran.identity, now);
-            let is_familiar = ran.is_familiar || self.is_familiar(&ran.identity, now);
-            let entry = self.entries.entry(ran.identity).or_insert_with(|| {
-                *self.of_caller.entry(ran.identity.caller()).or_default() += 1;
+            self.make_room(execution.identity, now);
+            let succeeded_recently =
+                execution.succeeded_recently || self.succeeded_recently(&execution.identity, now);
+            let entry = self.entries.entry(execution.identity).or_insert_with(|| {
+                *self
+                    .of_caller
+                    .entry(execution.identity.caller())
+                    .or_default() += 1;
                 Entry::new(now)
             });
-            entry.note_familiar(is_familiar);
-            if entry.note_crash(life, ran.known, beside, now) {
-                verdicts.push(ran.identity);
+            entry.remember_success(succeeded_recently);
+            if entry.record_crash(incarnation, execution.known_crashes, beside, now) {
+                verdicts.push(execution.identity);
             }
         }
         verdicts
@@ -135,17 +143,17 @@
 
     /// Returns true if a request ended well lately, as far as is known here.
     #[must_use]
-    pub fn is_familiar(&self, identity: &Identity, now: Moment) -> bool {
+    pub fn succeeded_recently(&self, identity: &Identity, now: Moment) -> bool {
         self.familiar.contains(identity, now)
     }
 
     /// Takes in that a request ended well here, without clearing it.
-    pub fn note_familiar(&mut self, identity: &Identity, now: Moment) {
+    pub fn remember_success(&mut self, identity: &Identity, now: Moment) {
         self.familiar.note(identity, now);
     }
 
     /// Takes in that a request ended well; returns what was held against it.
-    pub fn note_good_end(&mut self, identity: &Identity, now: Moment) -> Standing {
+    pub fn record_success(&mut self, identity: &Identity, now: Moment) -> Standing {
         self.familiar.note(identity, now);
         if self.entries.is_empty() {
             return Standing::Clear;
@@ -165,7 +173,7 @@
     }
 
     /// Takes in what another node holds against a request.
-    pub fn take(&mut self, record: &Record, now: Moment) {
+    pub fn merge(&mut self, record: &Record, now: Moment) {
         let crashed = now.before(record.age);
         let is_cleared =
             |(identity, at): &(Identity, Moment)| *identity == record.identity && *at > crashed;
@@ -177,12 +185,12 @@
             *self.of_caller.entry(record.identity.caller()).or_default() += 1;
             Entry::new(crashed)
         });
-        entry.take(record, now);
+        entry.merge(record, now);
     }
 
     /// Returns what a node that connects is to know: trials and quarantine, the newest first.
     #[must_use]
-    pub fn to_tell(&self, now: Moment) -> Vec<Record> {
+    pub fn snapshot(&self, now: Moment) -> Vec<Record> {
         let mut records = self.records(now);
         records.truncate(MOST_TOLD);
         records
@@ -192,7 +200,7 @@
     #[must_use]
     pub fn records(&self, now: Moment) -> Vec<Record> {
         let graver = self.entries.iter();
-        let graver = graver.filter(|(_, entry)| entry.standing(now).is_grave());
+        let graver = graver.filter(|(_, entry)| entry.standing(now).is_restricted());
         let mut records: Vec<Record> = graver
             .map(|(identity, entry)| entry.record(*identity, now))
             .collect();
--- a/crates/quarantine/src/ledger/entry.rs
+++ b/crates/quarantine/src/ledger/entry.rs
@@ -36,8 +36,8 @@
 ];
 
 /// Returns the number by which a life is remembered.
-pub(crate) fn life_number(life: &str) -> u64 {
-    xxhash_rust::xxh3::xxh3_64(life.as_bytes())
+pub(crate) fn incarnation_hash(incarnation: &str) -> u64 {
+    xxhash_rust::xxh3::xxh3_64(incarnation.as_bytes())
 }
 
 /// What ran beside a request when an upstream ended.
@@ -54,20 +54,20 @@
 struct Sentence {
     until: Moment,
     /// How many trials failed, the one that led here included.
-    failed: u8,
+    quarantine_count: u8,
 }
 
 /// What is held against one request.
 #[derive(Debug, Clone)]
 pub(crate) struct Entry {
-    generation: u8,
+    consecutive_crashes: u8,
     /// The lives that ended under it, as many as matter.
-    lives: [u64; TRIAL_LIVES],
-    lives_known: usize,
+    incarnations: [u64; TRIAL_LIVES],
+    incarnations_known: usize,
     /// It was on trial at some time, or nothing ran beside it when an upstream ended.
     on_trial: bool,
     /// It ended well lately before an upstream ended under it.
-    is_familiar: bool,
+    succeeded_recently: bool,
     last_crash: Moment,
     sentence: Option<Sentence>,
 }
@@ -75,11 +75,11 @@
 impl Entry {
     pub(crate) fn new(crashed: Moment) -> Self {
         Self {
-            generation: 0,
-            lives: [0; TRIAL_LIVES],
-            lives_known: 0,
+            consecutive_crashes: 0,
+            incarnations: [0; TRIAL_LIVES],
+            incarnations_known: 0,
             on_trial: false,
-            is_familiar: false,
+            succeeded_recently: false,
             last_crash: crashed,
             sentence: None,
         }
@@ -87,35 +87,41 @@
 
     /// Returns what is held against the request.
     pub(crate) fn standing(&self, now: Moment) -> Standing {
-        let known = self.generation;
+        let known_crashes = self.consecutive_crashes;
         match self.sentence {
             Some(sentence) if sentence.until > now => Standing::Quarantined {
-                left: sentence.until.since(now),
+                remaining: sentence.until.since(now),
             },
-            Some(_) => Standing::OnTrial { known },
+            Some(_) => Standing::OnTrial { known_crashes },
             None if now.since(self.last_crash) > MEMORY => Standing::Clear,
-            None if self.on_trial => Standing::OnTrial { known },
-            None => Standing::Suspected { known },
+            None if self.on_trial => Standing::OnTrial { known_crashes },
+            None => Standing::Suspected { known_crashes },
         }
     }
 
     /// Takes in a crash; returns true if the request is in quarantine by it.
-    pub(crate) fn note_crash(&mut self, life: u64, known: u8, beside: Beside, now: Moment) -> bool {
+    pub(crate) fn record_crash(
+        &mut self,
+        incarnation: u64,
+        known_crashes: u8,
+        beside: Beside,
+        now: Moment,
+    ) -> bool {
         if self.standing(now) == Standing::Clear {
             *self = Self {
-                is_familiar: self.is_familiar,
+                succeeded_recently: self.succeeded_recently,
                 ..Self::new(now)
             };
         }
-        let is_new = self.note_life(life);
-        let generation = known.saturating_add(1);
+        let is_new = self.note_incarnation(incarnation);
+        let consecutive_crashes = known_crashes.saturating_add(1);
         let was_in_quarantine = self.standing(now).is_quarantined();
-        let is_further = generation > self.generation;
-        self.generation = self.generation.max(generation);
+        let is_further = consecutive_crashes > self.consecutive_crashes;
+        self.consecutive_crashes = self.consecutive_crashes.max(consecutive_crashes);
         self.last_crash = now;
         self.on_trial |= beside.was_alone
-            || self.generation >= TRIAL_GENERATION
-            || self.lives_known >= TRIAL_LIVES;
+            || self.consecutive_crashes >= TRIAL_GENERATION
+            || self.incarnations_known >= TRIAL_LIVES;
         if was_in_quarantine || !(is_further || is_new) {
             return false;
         }
@@ -127,52 +133,55 @@
     }
 
     /// Notes whether it ended well lately.
-    pub(crate) fn note_familiar(&mut self, is_familiar: bool) {
-        self.is_familiar |= is_familiar;
+    pub(crate) fn remember_success(&mut self, succeeded_recently: bool) {
+        self.succeeded_recently |= succeeded_recently;
     }
 
     /// Returns true if what is known suffices for quarantine.
     fn is_proved(&self, beside: Beside) -> bool {
-        let extra = if self.is_familiar {
+        let extra = if self.succeeded_recently {
             FAMILIAR_GENERATIONS
         } else {
             0
         };
         let needed = QUARANTINE_GENERATION + u8::from(beside.had_suspects) + extra;
-        let ended_many = self.lives_known >= PROOF_LIVES && !self.is_familiar;
-        self.generation >= needed || (self.generation >= TRIAL_GENERATION && ended_many)
+        let ended_many = self.incarnations_known >= PROOF_LIVES && !self.succeeded_recently;
+        self.consecutive_crashes >= needed
+            || (self.consecutive_crashes >= TRIAL_GENERATION && ended_many)
     }
 
-    fn note_life(&mut self, life: u64) -> bool {
-        if self.lives[..self.lives_known.min(TRIAL_LIVES)].contains(&life) {
+    fn note_incarnation(&mut self, incarnation: u64) -> bool {
+        if self.incarnations[..self.incarnations_known.min(TRIAL_LIVES)].contains(&incarnation) {
             return false;
         }
-        self.lives[self.lives_known % TRIAL_LIVES] = life;
-        self.lives_known = (self.lives_known + 1).min(2 * TRIAL_LIVES);
+        self.incarnations[self.incarnations_known % TRIAL_LIVES] = incarnation;
+        self.incarnations_known = (self.incarnations_known + 1).min(2 * TRIAL_LIVES);
         true
     }
 
     fn sentence_again(&mut self, now: Moment) {
-        let failed = self.sentence.map_or(0, |sentence| sentence.failed);
-        let term = TERMS[usize::from(failed).min(TERMS.len() - 1)];
+        let quarantine_count = self
+            .sentence
+            .map_or(0, |sentence| sentence.quarantine_count);
+        let term = TERMS[usize::from(quarantine_count).min(TERMS.len() - 1)];
         self.sentence = Some(Sentence {
             until: now + term,
-            failed: failed.saturating_add(1),
+            quarantine_count: quarantine_count.saturating_add(1),
         });
     }
 
     /// Takes in what another node holds against it, if that is more.
-    pub(crate) fn take(&mut self, record: &Record, now: Moment) {
-        self.generation = self.generation.max(record.generation);
+    pub(crate) fn merge(&mut self, record: &Record, now: Moment) {
+        self.consecutive_crashes = self.consecutive_crashes.max(record.consecutive_crashes);
         self.last_crash = self.last_crash.max(now.before(record.age));
         self.on_trial = true;
-        self.is_familiar |= record.is_familiar;
-        if record.failed == 0 {
+        self.succeeded_recently |= record.succeeded_recently;
+        if record.quarantine_count == 0 {
             return;
         }
         let told = Sentence {
-            until: now + record.left,
-            failed: record.failed,
+            until: now + record.remaining,
+            quarantine_count: record.quarantine_count,
         };
         let own = self.sentence.map_or((0, Moment::default()), Sentence::rank);
         if told.rank() > own {
@@ -184,13 +193,15 @@
     pub(crate) fn record(&self, identity: Identity, now: Moment) -> Record {
         Record {
             identity,
-            generation: self.generation,
+            consecutive_crashes: self.consecutive_crashes,
             age: now.since(self.last_crash),
-            left: self
+            remaining: self
                 .sentence
                 .map_or(Duration::ZERO, |sentence| sentence.until.since(now)),
-            failed: self.sentence.map_or(0, |sentence| sentence.failed),
-            is_familiar: self.is_familiar,
+            quarantine_count: self
+                .sentence
+                .map_or(0, |sentence| sentence.quarantine_count),
+            succeeded_recently: self.succeeded_recently,
         }
     }
 
@@ -208,6 +219,6 @@
 
 impl Sentence {
     fn rank(self) -> (u8, Moment) {
-        (self.failed, self.until)
+        (self.quarantine_count, self.until)
     }
 }
--- a/crates/quarantine/src/ledger/record.rs
+++ b/crates/quarantine/src/ledger/record.rs
@@ -10,13 +10,13 @@
     /// The request.
     pub identity: Identity,
     /// How many crashes followed each other under it.
-    pub generation: u8,
+    pub consecutive_crashes: u8,
     /// How long ago the last crash was.
     pub age: Duration,
     /// How much of its quarantine is left, if it is in any.
-    pub left: Duration,
+    pub remaining: Duration,
     /// How often it was put into quarantine.
-    pub failed: u8,
+    pub quarantine_count: u8,
     /// It ended well lately before an upstream ended under it.
-    pub is_familiar: bool,
+    pub succeeded_recently: bool,
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -9,5 +9,5 @@
 mod standing;
 
 pub use identity::{Caller, Hasher, IDENTITY_BYTES, Identity, IdentityError};
-pub use ledger::{Crash, Ledger, Ran, Record};
+pub use ledger::{Crash, Execution, Ledger, Record};
 pub use standing::Standing;
--- a/crates/quarantine/src/standing.rs
+++ b/crates/quarantine/src/standing.rs
@@ -11,27 +11,27 @@
     /// are not repeated together.
     Suspected {
         /// How many crashes followed each other under it.
-        known: u8,
+        known_crashes: u8,
     },
     /// Besides, it runs there one at a time, beside no other request on trial.
     OnTrial {
         /// How many crashes followed each other under it.
-        known: u8,
+        known_crashes: u8,
     },
     /// It is sent to no upstream.
     Quarantined {
         /// How long that lasts.
-        left: Duration,
+        remaining: Duration,
     },
 }
 
 impl Standing {
     /// Returns the generation of crashes that is known.
     #[must_use]
-    pub fn known(self) -> u8 {
+    pub fn known_crashes(self) -> u8 {
         match self {
             Self::Clear | Self::Quarantined { .. } => 0,
-            Self::Suspected { known } | Self::OnTrial { known } => known,
+            Self::Suspected { known_crashes } | Self::OnTrial { known_crashes } => known_crashes,
         }
     }
 
@@ -49,7 +49,7 @@
 
     /// Returns true if all nodes have to know of it.
     #[must_use]
-    pub fn is_grave(self) -> bool {
+    pub fn is_restricted(self) -> bool {
         self.is_on_trial() || self.is_quarantined()
     }
 }
--- a/crates/quarantine/tests/verdicts.rs
+++ b/crates/quarantine/tests/verdicts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sailtrack_quarantine::{Caller, Crash, Hasher, Identity, Ledger, Ran, Record, Standing};
+use sailtrack_quarantine::{Caller, Crash, Execution, Hasher, Identity, Ledger, Record, Standing};
 use sailtrack_units::Moment;
 
 const START: Moment = at(1000);
@@ -20,22 +20,27 @@
     Hasher::new(&[name.as_bytes()], Caller::named(caller.as_bytes())).finish()
 }
 
-fn ran(name: &str, known: u8) -> Ran {
+fn ran(name: &str, known_crashes: u8) -> Execution {
     let identity = identity(name);
-    Ran {
+    Execution {
         identity,
-        known,
-        is_familiar: false,
+        known_crashes,
+        succeeded_recently: false,
     }
 }
 
-fn crash(ledger: &mut Ledger, life: &str, ran: &[Ran], now: Moment) -> Vec<Identity> {
+fn crash(
+    ledger: &mut Ledger,
+    incarnation: &str,
+    in_flight: &[Execution],
+    now: Moment,
+) -> Vec<Identity> {
     let crash = Crash {
-        life,
-        ran,
-        is_whole: true,
+        incarnation,
+        in_flight,
+        is_complete: true,
     };
-    ledger.note_crash(crash, now)
+    ledger.record_crash(crash, now)
 }
 
 /// Three crashes that followed each other, with others beside.
@@ -52,12 +57,12 @@
 fn three_in_a_row() {
     let ledger = convicted();
     let standing = ledger.standing(&identity("bad"), START);
-    assert_eq!(standing, Standing::Quarantined { left: TERM });
+    assert_eq!(standing, Standing::Quarantined { remaining: TERM });
     for name in ["one", "two", "three"] {
         let standing = ledger.standing(&identity(name), START);
-        assert_eq!(standing, Standing::Suspected { known: 1 }, "{name}");
+        assert_eq!(standing, Standing::Suspected { known_crashes: 1 }, "{name}");
     }
-    assert_eq!(ledger.quarantined(START), 1);
+    assert_eq!(ledger.quarantined_count(START), 1);
     assert_eq!(ledger.standing(&identity("other"), START), Standing::Clear);
 }
 
@@ -66,12 +71,21 @@
 #[test]
 fn all_at_once() {
     let mut ledger = Ledger::default();
-    for life in ["a", "b", "c", "d", "e"] {
-        let verdicts = crash(&mut ledger, life, &[ran("popular", 0), ran(life, 0)], START);
+    for incarnation in ["a", "b", "c", "d", "e"] {
+        let verdicts = crash(
+            &mut ledger,
+            incarnation,
+            &[ran("popular", 0), ran(incarnation, 0)],
+            START,
+        );
         assert!(verdicts.is_empty());
     }
     let standing = ledger.standing(&identity("popular"), START);
-    assert_eq!(standing, Standing::OnTrial { known: 1 }, "one at a time");
+    assert_eq!(
+        standing,
+        Standing::OnTrial { known_crashes: 1 },
+        "one at a time"
+    );
     let verdicts = crash(&mut ledger, "f", &[ran("popular", 1), ran("e", 1)], START);
     assert_eq!(
         verdicts,
@@ -88,7 +102,7 @@
         crash(&mut ledger, "a", &[ran("one", 0), ran("two", 0)], START);
     }
     let standing = ledger.standing(&identity("one"), START);
-    assert_eq!(standing, Standing::Suspected { known: 1 });
+    assert_eq!(standing, Standing::Suspected { known_crashes: 1 });
 }
 
 #[test]
@@ -96,7 +110,7 @@
     let mut ledger = Ledger::default();
     crash(&mut ledger, "a", &[ran("one", 0)], START);
     let standing = ledger.standing(&identity("one"), START);
-    assert_eq!(standing, Standing::OnTrial { known: 1 });
+    assert_eq!(standing, Standing::OnTrial { known_crashes: 1 });
 }
 
 /// A crash under a trial beside another suspect tells which of them it was only if it is seen
@@ -118,8 +132,8 @@
     let mut ledger = Ledger::default();
     crash(&mut ledger, "a", &[ran("one", 0), ran("two", 0)], START);
     crash(&mut ledger, "b", &[ran("one", 1), ran("two", 0)], START);
-    let before = ledger.note_good_end(&identity("one"), START);
-    assert_eq!(before, Standing::OnTrial { known: 2 });
+    let before = ledger.record_success(&identity("one"), START);
+    assert_eq!(before, Standing::OnTrial { known_crashes: 2 });
     let standing = ledger.standing(&identity("one"), START);
     assert_eq!(standing, Standing::Clear);
     let verdicts = crash(&mut ledger, "c", &[ran("one", 0)], START);
@@ -143,15 +157,15 @@
         now = now + term;
         let standing = ledger.standing(&bad, now);
         assert!(standing.is_on_trial(), "{term:?} later: {standing:?}");
-        let life = format!("after {term:?}");
-        let ran = [ran("bad", standing.known()), ran("x", 0)];
-        crash(&mut ledger, &life, &ran, now);
+        let incarnation = format!("after {term:?}");
+        let in_flight = [ran("bad", standing.known_crashes()), ran("x", 0)];
+        crash(&mut ledger, &incarnation, &in_flight, now);
         let standing = ledger.standing(&bad, now);
-        assert_eq!(standing, Standing::Quarantined { left: next });
+        assert_eq!(standing, Standing::Quarantined { remaining: next });
     }
     now = now + hours(24);
     assert!(ledger.standing(&bad, now).is_on_trial());
-    ledger.note_good_end(&bad, now);
+    ledger.record_success(&bad, now);
     assert_eq!(ledger.standing(&bad, now), Standing::Clear);
 }
 
@@ -166,7 +180,7 @@
     assert_eq!(standing, Standing::Clear);
     crash(&mut ledger, "c", &[ran("one", 0), ran("two", 0)], later);
     let standing = ledger.standing(&identity("one"), later);
-    assert_eq!(standing, Standing::Suspected { known: 1 });
+    assert_eq!(standing, Standing::Suspected { known_crashes: 1 });
 }
 
 /// A node that connects is told of trials and verdicts, and holds the same.
@@ -175,12 +189,16 @@
     let first = convicted();
     let mut second = Ledger::default();
     let passed = Duration::from_mins(1);
-    for record in first.to_tell(START + passed) {
-        second.take(&record, at(5));
+    for record in first.snapshot(START + passed) {
+        second.merge(&record, at(5));
     }
-    let left = TERM.saturating_sub(passed);
+    let remaining = TERM.saturating_sub(passed);
     let standing = second.standing(&identity("bad"), at(5));
-    assert_eq!(standing, Standing::Quarantined { left }, "by its own clock");
+    assert_eq!(
+        standing,
+        Standing::Quarantined { remaining },
+        "by its own clock"
+    );
     assert_eq!(second.len(), 1, "suspects are not told");
 }
 
@@ -189,7 +207,7 @@
 fn cleared_for_good() {
     let mut ledger = convicted();
     let bad = identity("bad");
-    let old: Vec<Record> = ledger.to_tell(START);
+    let old: Vec<Record> = ledger.snapshot(START);
     let later = START + Duration::from_secs(30);
     let by_text: Identity = bad.to_string().parse().expect("its text");
     assert!(ledger.clear(&by_text, later));
@@ -200,7 +218,7 @@
             age: record.age + passed,
             ..record
         };
-        ledger.take(&record, START + passed);
+        ledger.merge(&record, START + passed);
     }
     assert_eq!(ledger.standing(&bad, later), Standing::Clear);
     assert!(!ledger.clear(&bad, later), "nothing is left of it");
@@ -213,7 +231,7 @@
     for number in 0..4000 {
         let identity = of_caller(&format!("made up {number}"), "maker");
         let made = [
-            Ran {
+            Execution {
                 identity,
                 ..ran("", 0)
             },
@@ -230,7 +248,7 @@
             crash(
                 &mut ledger,
                 &name,
-                &[Ran {
+                &[Execution {
                     identity,
                     ..ran("", 0)
                 }],
@@ -247,11 +265,16 @@
 fn familiar() {
     let mut ledger = Ledger::default();
     let popular = identity("popular");
-    ledger.note_good_end(&popular, START);
-    for (number, life) in ["a", "b", "c", "d"].into_iter().enumerate() {
-        let known = u8::try_from(number).expect("it is small");
-        let verdicts = crash(&mut ledger, life, &[ran("popular", known)], START);
-        assert!(verdicts.is_empty(), "{life}");
+    ledger.record_success(&popular, START);
+    for (number, incarnation) in ["a", "b", "c", "d"].into_iter().enumerate() {
+        let known_crashes = u8::try_from(number).expect("it is small");
+        let verdicts = crash(
+            &mut ledger,
+            incarnation,
+            &[ran("popular", known_crashes)],
+            START,
+        );
+        assert!(verdicts.is_empty(), "{incarnation}");
     }
     let verdicts = crash(&mut ledger, "e", &[ran("popular", 4)], START);
     assert_eq!(verdicts, [popular]);
@@ -262,11 +285,16 @@
 fn no_more_familiar() {
     let mut ledger = Ledger::default();
     let once = identity("once");
-    ledger.note_good_end(&once, START);
+    ledger.record_success(&once, START);
     let later = START + Duration::from_mins(2);
-    for (number, life) in ["a", "b", "c"].into_iter().enumerate() {
-        let known = u8::try_from(number).expect("it is small");
-        crash(&mut ledger, life, &[ran("once", known)], later);
+    for (number, incarnation) in ["a", "b", "c"].into_iter().enumerate() {
+        let known_crashes = u8::try_from(number).expect("it is small");
+        crash(
+            &mut ledger,
+            incarnation,
+            &[ran("once", known_crashes)],
+            later,
+        );
     }
     assert!(ledger.standing(&once, later).is_quarantined());
 }
