--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -293,7 +293,7 @@
     let member = said.member.as_ref()?;
     Some(Holder {
         node: member.node.parse().ok()?,
-        life: member.incarnation,
+        incarnation: member.incarnation,
     })
 }
 
--- a/crates/mesh/src/quota/allocation.rs
+++ b/crates/mesh/src/quota/allocation.rs
@@ -14,7 +14,7 @@
 use rand::Rng as _;
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_quota::{Allocator, Claim, Held, LAPSED, LEASE, Lease, Now, Parts};
+use sailtrack_quota::{Allocator, Claim, Holding, LEASE_DURATION, LEASE_GRACE, Lease, Now, Shares};
 use sailtrack_units::{Incarnation, Moment, WorkspaceName};
 
 use crate::clock;
@@ -143,39 +143,39 @@
 
     async fn claim(&self) -> Result<Lease, RoleError> {
         let asked = clock::now();
-        let (mut parts, version, now) = self.read().await?;
+        let (mut shares, version, now) = self.read().await?;
         let claim = self.say();
         let own = &self.quotas.place;
         let is_gone = |lease: &Lease| {
-            let is_own = lease.holder == own.node && lease.life != own.life.0;
+            let is_own = lease.holder == own.node && lease.incarnation != own.life.0;
             is_own
                 || self
                     .peers
-                    .is_in_another_life(&lease.holder, Incarnation(lease.life))
+                    .is_in_another_life(&lease.holder, Incarnation(lease.incarnation))
         };
-        let before = parts.era;
-        let Some(lease) = parts.claim(&claim, now, is_gone) else {
-            if parts.era != before {
-                self.write(&parts, version).await?;
+        let before = shares.era;
+        let Some(lease) = shares.claim(&claim, now, is_gone) else {
+            if shares.era != before {
+                self.write(&shares, version).await?;
             }
-            let holder = parts.domains.get(&own.domain);
+            let holder = shares.domains.get(&own.domain);
             let holder = holder.map_or_else(|| own.node.clone(), |one| one.lease.holder.clone());
             return Err(RoleError::Held(holder));
         };
         // What is lowered is given up before it is written: somebody else may take it then.
-        self.set_parts(&parts, f64::min);
-        self.write(&parts, version).await?;
+        self.set_shares(&shares, f64::min);
+        self.write(&shares, version).await?;
         if self.resigned.get() {
             // The node has begun to stop meanwhile.
             self.release().await?;
             return Err(RoleError::Stopping);
         }
-        self.enter(&lease, &parts, asked);
-        self.set_parts(&parts, |next, _| next);
+        self.enter(&lease, &shares, asked);
+        self.set_shares(&shares, |next, _| next);
         Ok(lease)
     }
 
-    async fn read(&self) -> Result<(Parts, StoreVersion, Now), RoleError> {
+    async fn read(&self) -> Result<(Shares, StoreVersion, Now), RoleError> {
         let asked = clock::now();
         let reading = self.store.row(Table::Quotas, ROW).await;
         let Reading { row, era, now } = reading.map_err(RoleError::Store)?;
@@ -192,36 +192,36 @@
         };
         let Some(row) = row else {
             let version = StoreVersion { era, number: 0 };
-            return Ok((Parts::default(), version, now));
+            return Ok((Shares::default(), version, now));
         };
-        let parts: Result<Parts, RoleError> = match &row.content {
+        let shares: Result<Shares, RoleError> = match &row.content {
             Content::Text(text) => {
                 serde_json::from_str(text).map_err(|error| RoleError::Row(error.to_string()))
             }
             Content::Unreadable(reason) => Err(RoleError::Row(reason.clone())),
-            Content::Removed => Ok(Parts::default()),
+            Content::Removed => Ok(Shares::default()),
         };
         // What cannot be read was not written by a node, and is written anew once nobody can hold a
         // lease or tokens of before; until then the error is logged at each try.
-        let parts = match parts {
-            Err(_) if self.is_unreadable_for_long() => Parts::default(),
-            parts => {
+        let shares = match shares {
+            Err(_) if self.is_unreadable_for_long() => Shares::default(),
+            shares => {
                 self.unreadable
-                    .set(self.unreadable.get().filter(|_| parts.is_err()));
-                parts?
+                    .set(self.unreadable.get().filter(|_| shares.is_err()));
+                shares?
             }
         };
-        Ok((parts, row.version, now))
+        Ok((shares, row.version, now))
     }
 
     /// Writes the row if nobody else has written it since.
-    async fn write(&self, parts: &Parts, version: StoreVersion) -> Result<(), RoleError> {
+    async fn write(&self, shares: &Shares, version: StoreVersion) -> Result<(), RoleError> {
         // In another era that version may be of another row.
         if version.era != self.quotas.clock.era() {
             return Err(RoleError::Store(StoreError::Conflict));
         }
         let text =
-            serde_json::to_string(parts).map_err(|error| RoleError::Row(error.to_string()))?;
+            serde_json::to_string(shares).map_err(|error| RoleError::Row(error.to_string()))?;
         let written = self.store.replace(Table::Quotas, ROW, &text, version);
         written.await.map_err(RoleError::Store)
     }
@@ -230,7 +230,7 @@
     fn is_unreadable_for_long(&self) -> bool {
         let since = self.unreadable.get().unwrap_or_else(Instant::now);
         self.unreadable.set(Some(since));
-        since.elapsed() >= LEASE + LAPSED
+        since.elapsed() >= LEASE_DURATION + LEASE_GRACE
     }
 
     fn say(&self) -> Claim {
@@ -244,33 +244,33 @@
         Claim {
             domain: place.domain.clone(),
             node: place.node.clone(),
-            life: place.life.0,
+            incarnation: place.life.0,
             is_new: term.is_none(),
             era: self.quotas.clock.era().0,
-            knows_copy: self.quotas.clock.copied().is_some(),
-            held: self.held(term.as_ref()),
-            domains: self.peers.domains_beside(&place.domain) + 1,
+            has_seen_restore: self.quotas.clock.copied().is_some(),
+            holding: self.holding(term.as_ref()),
+            domain_count: self.peers.domains_beside(&place.domain) + 1,
             demand: rounded(demand),
             limited,
         }
     }
 
     /// Returns what this node has as the allocator, whatever the store has.
-    fn held(&self, term: Option<&Term>) -> Option<Held> {
+    fn holding(&self, term: Option<&Term>) -> Option<Holding> {
         let now = clock::now();
         let term = term.filter(|term| self.quotas.is_valid(term, now))?;
-        let parts = self.quotas.limits.borrow();
-        let parts = parts.keys().map(|workspace| {
-            let part = term.allocator.part(workspace);
-            (workspace.clone(), part)
+        let shares = self.quotas.limits.borrow();
+        let shares = shares.keys().map(|workspace| {
+            let share = term.allocator.share(workspace);
+            (workspace.clone(), share)
         });
-        Some(Held {
+        Some(Holding {
             term: term.number,
-            parts: parts.collect(),
+            shares: shares.collect(),
         })
     }
 
-    fn enter(&self, lease: &Lease, parts: &Parts, asked: Moment) {
+    fn enter(&self, lease: &Lease, shares: &Shares, asked: Moment) {
         let now = clock::now();
         let expiry = Expiry::new(lease, asked);
         let mut term = self.quotas.term.borrow_mut();
@@ -281,7 +281,7 @@
             _ => {
                 let mut allocator = Allocator::new(self.quotas.tolerance.get(), now);
                 allocator.set_limits(&self.quotas.limits.borrow(), now);
-                let domain = parts.domains.get(&self.quotas.place.domain);
+                let domain = shares.domains.get(&self.quotas.place.domain);
                 for (workspace, demand) in domain.iter().flat_map(|domain| &domain.demand) {
                     allocator.set_demand(workspace, *demand, now);
                 }
@@ -295,7 +295,7 @@
     }
 
     /// Sets each part to what `choose` makes of the next and the present one.
-    fn set_parts(&self, parts: &Parts, choose: impl Fn(f64, f64) -> f64) {
+    fn set_shares(&self, shares: &Shares, choose: impl Fn(f64, f64) -> f64) {
         let now = clock::now();
         let domain = &self.quotas.place.domain;
         let mut term = self.quotas.term.borrow_mut();
@@ -303,20 +303,20 @@
             return;
         };
         for workspace in self.quotas.limits.borrow().keys() {
-            let next = parts.part(domain, workspace);
-            let present = term.allocator.part(workspace);
+            let next = shares.share(domain, workspace);
+            let present = term.allocator.share(workspace);
             term.allocator
-                .set_part(workspace, choose(next, present), now);
+                .set_share(workspace, choose(next, present), now);
         }
     }
 
     async fn release(&self) -> Result<(), RoleError> {
-        let (mut parts, version, now) = self.read().await?;
+        let (mut shares, version, now) = self.read().await?;
         let place = &self.quotas.place;
-        if !parts.release(&place.domain, &place.node, place.life.0, now) {
+        if !shares.release(&place.domain, &place.node, place.life.0, now) {
             return Ok(());
         }
-        self.write(&parts, version).await
+        self.write(&shares, version).await
     }
 
     fn note_lease(&self, lease: &Lease) {
--- a/crates/mesh/src/quota/asker.rs
+++ b/crates/mesh/src/quota/asker.rs
@@ -67,7 +67,7 @@
         if quotas.is_allocator() {
             let own = Holder {
                 node: quotas.place.node.clone(),
-                life: quotas.place.life.0,
+                incarnation: quotas.place.life.0,
             };
             return Some(quotas.answer(&own, &question)).filter(|answer| !answer.not_allocator);
         }
--- a/crates/mesh/src/quota/expiry.rs
+++ b/crates/mesh/src/quota/expiry.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use sailtrack_quota::{LEASE, Lease};
+use sailtrack_quota::{LEASE_DURATION, Lease};
 use sailtrack_units::{Era, Moment};
 
 use crate::store::{CLOCK_ERROR, Clock, StoreTime};
@@ -25,7 +25,7 @@
         Self {
             until: StoreTime::from_millis(lease.until_ms),
             era: Era(lease.era),
-            until_here: asked + LEASE,
+            until_here: asked + LEASE_DURATION,
         }
     }
 
--- a/crates/mesh/src/quota/expiry/tests.rs
+++ b/crates/mesh/src/quota/expiry/tests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sailtrack_quota::{LEASE, Lease};
+use sailtrack_quota::{LEASE_DURATION, Lease};
 use sailtrack_units::{Era, Moment};
 
 use super::Expiry;
@@ -12,7 +12,7 @@
 fn lease(until: StoreTime) -> Lease {
     Lease {
         holder: "n1".parse().expect("a sound name"),
-        life: 1,
+        incarnation: 1,
         term: 1,
         until_ms: until.millis(),
         era: 0,
@@ -43,7 +43,7 @@
         now = answer.answered;
         clock.note(answer.asked, now, answer.told);
         let at_most = clock.at_most(now).expect("it was told");
-        let until = StoreTime(at_most.0 + LEASE);
+        let until = StoreTime(at_most.0 + LEASE_DURATION);
         known = Some((Expiry::new(&lease(until), answer.asked), until));
     }
     (too_long, held / looks)
@@ -81,13 +81,13 @@
             let clock = Clock::default();
             let began = Moment::since_boot(Duration::from_secs(1));
             clock.note(began, began, pair.told(began));
-            let until = StoreTime(clock.at_most(began).expect("it was told").0 + LEASE);
+            let until = StoreTime(clock.at_most(began).expect("it was told").0 + LEASE_DURATION);
             let expiry = Expiry::new(&lease(until), began);
             let looks = (0..500).map(|look| began + Duration::from_millis(10) * look);
             let held = looks.filter(|now| expiry.is_ahead(&clock, *now));
             let last = held.last().expect("it was held");
             assert!(pair.shown(last) <= until, "{pair:?}: held for too long");
-            assert!(last.since(began) + Duration::from_millis(200) > LEASE);
+            assert!(last.since(began) + Duration::from_millis(200) > LEASE_DURATION);
         }
     }
 }
@@ -102,5 +102,5 @@
     clock.hear(Era(2), began);
     clock.note(began, began, StoreTime::from_millis(500));
     assert!(expiry.is_ahead(&clock, began + Duration::from_secs(3)));
-    assert!(!expiry.is_ahead(&clock, began + LEASE));
+    assert!(!expiry.is_ahead(&clock, began + LEASE_DURATION));
 }
--- a/crates/mesh/src/quota/mod.rs
+++ b/crates/mesh/src/quota/mod.rs
@@ -18,7 +18,7 @@
 use monoio::time::timeout;
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_quota::{Allocator, Cache, Grant, Holder, Limit, Taken, Tolerance, Want};
+use sailtrack_quota::{Acquisition, Allocator, Cache, Grant, Holder, Limit, Tolerance, Want};
 use sailtrack_units::{DomainName, Incarnation, Moment, NodeName, WorkspaceName};
 use sailtrack_wire::{TokenAnswer, TokenQuestion};
 
@@ -118,25 +118,25 @@
         self: &Rc<Self>,
         workspace: &WorkspaceName,
     ) -> Result<Token, Shortage> {
-        let taken = self.cache.borrow_mut().take(workspace, clock::now());
+        let taken = self.cache.borrow_mut().acquire(workspace, clock::now());
         let taken = match taken {
-            Taken::Ask => self.wait_for_token(workspace).await,
+            Acquisition::Fetch => self.wait_for_token(workspace).await,
             taken => Ok(taken),
         };
         match taken {
-            Ok(Taken::Token) => Ok(Token::new(self, workspace)),
-            Ok(Taken::Dry(wait)) => {
+            Ok(Acquisition::Token) => Ok(Token::new(self, workspace)),
+            Ok(Acquisition::Exhausted(wait)) => {
                 self.note_over(workspace);
                 Err(Shortage::Over(wait))
             }
-            Ok(Taken::Ask) | Err(_) => Err(Shortage::NoAllocator),
+            Ok(Acquisition::Fetch) | Err(_) => Err(Shortage::NoAllocator),
         }
     }
 
     async fn wait_for_token(
         &self,
         workspace: &WorkspaceName,
-    ) -> Result<Taken, monoio::time::error::Elapsed> {
+    ) -> Result<Acquisition, monoio::time::error::Elapsed> {
         let _waiting = Waiting::new(self, workspace);
         let waiting = async {
             loop {
@@ -146,8 +146,11 @@
                 let _ = self.wanted.borrow_mut().try_send(());
                 // The asker lives as long as the node.
                 let _ = answered.await;
-                let taken = self.cache.borrow_mut().take_again(workspace, clock::now());
-                if taken != Taken::Ask {
+                let taken = self
+                    .cache
+                    .borrow_mut()
+                    .acquire_waiting(workspace, clock::now());
+                if taken != Acquisition::Fetch {
                     return taken;
                 }
             }
@@ -169,7 +172,7 @@
         let mut cache = self.cache.borrow_mut();
         for name in before.keys() {
             if before.get(name) != limits.get(name) {
-                cache.void(name);
+                cache.invalidate(name);
             }
         }
         if let Some(term) = self.term.borrow_mut().as_mut() {
@@ -201,7 +204,7 @@
         let grants = question.wants.iter().map(|want| {
             let grant = wire::want(want).and_then(|(workspace, want)| {
                 term.allocator
-                    .ask((holder, exchange), &workspace, want, now)
+                    .allocate((holder, exchange), &workspace, want, now)
             });
             wire::grant(grant)
         });
@@ -278,14 +281,17 @@
 
 impl<'a> Waiting<'a> {
     fn new(quotas: &'a Quotas, workspace: &'a WorkspaceName) -> Self {
-        quotas.cache.borrow_mut().wait(workspace, true);
+        quotas.cache.borrow_mut().set_waiting(workspace, true);
         Self { quotas, workspace }
     }
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.quotas.cache.borrow_mut().wait(self.workspace, false);
+        self.quotas
+            .cache
+            .borrow_mut()
+            .set_waiting(self.workspace, false);
     }
 }
 
@@ -308,7 +314,7 @@
     /// Gives it back, since its request did not run and never will.
     pub(crate) fn give_back(self) {
         if clock::now().since(self.taken) < GIVE_BACK_TIME {
-            self.quotas.cache.borrow_mut().give_back(&self.workspace);
+            self.quotas.cache.borrow_mut().refund(&self.workspace);
         }
     }
 }
--- a/crates/quota/benches/decision.rs
+++ b/crates/quota/benches/decision.rs
@@ -29,7 +29,7 @@
     let now = Moment::since_boot(Duration::from_secs(10));
     let mut cache = Cache::default();
     for name in &names {
-        cache.take(name, now);
+        cache.acquire(name, now);
         let grant = Grant {
             tokens: ROUNDS,
             recalled: 0,
@@ -39,7 +39,7 @@
     }
     let began = Instant::now();
     for round in 0..ROUNDS as usize {
-        black_box(cache.take(&names[round % names.len()], now));
+        black_box(cache.acquire(&names[round % names.len()], now));
     }
     began.elapsed() / ROUNDS
 }
@@ -52,11 +52,11 @@
     let limits: HashMap<_, _> = names.iter().map(|name| (name.clone(), LIMIT)).collect();
     allocator.set_limits(&limits, now);
     for name in &names {
-        allocator.set_part(name, 1.0, now);
+        allocator.set_share(name, 1.0, now);
     }
     let holders = (0..nodes).map(|number| Holder {
         node: format!("n{number}").parse().expect("a sound name"),
-        life: 1,
+        incarnation: 1,
     });
     let holders: Vec<_> = holders.collect();
     let want = Want {
@@ -69,7 +69,7 @@
         let holder = &holders[round % nodes];
         let question = u64::try_from(round + 1).expect("it fits");
         let now = now + Duration::from_micros(10) * u32::try_from(round).expect("it fits");
-        black_box(allocator.ask((holder, question), &names[round % names.len()], want, now));
+        black_box(allocator.allocate((holder, question), &names[round % names.len()], want, now));
     }
     began.elapsed() / rounds
 }
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -55,7 +55,7 @@
     /// The node,
     pub node: NodeName,
     /// and its life.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// What a node holds, as far as the allocator knows.
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 struct Pool {
     limit: Limit,
-    part: f64,
+    share: f64,
     tokens: f64,
     at: Moment,
     demand: Meter,
@@ -117,7 +117,7 @@
         for (name, limit) in limits {
             let pool = self.pools.entry(name.clone()).or_insert_with(|| Pool {
                 limit: *limit,
-                part: 0.0,
+                share: 0.0,
                 tokens: 0.0,
                 at: now,
                 demand: Meter::over(DEMAND_SPAN),
@@ -131,10 +131,10 @@
     }
 
     /// Sets the part of a workspace's limit that this domain has, from 0 to 1.
-    pub fn set_part(&mut self, workspace: &WorkspaceName, part: f64, now: Moment) {
+    pub fn set_share(&mut self, workspace: &WorkspaceName, share: f64, now: Moment) {
         if let Some(pool) = self.pools.get_mut(workspace) {
             pool.fill(&self.tolerance, self.began, now);
-            pool.part = part;
+            pool.share = share;
             pool.fill(&self.tolerance, self.began, now);
         }
     }
@@ -143,7 +143,7 @@
     ///
     /// The questions of a life are numbered from 1 on, and each is asked once all earlier ones are
     /// answered or given up.
-    pub fn ask(
+    pub fn allocate(
         &mut self,
         (holder, question): (&Holder, u64),
         workspace: &WorkspaceName,
@@ -194,8 +194,8 @@
 
     /// Returns the part of a workspace's limit that this domain has.
     #[must_use]
-    pub fn part(&self, workspace: &WorkspaceName) -> f64 {
-        self.pools.get(workspace).map_or(0.0, |pool| pool.part)
+    pub fn share(&self, workspace: &WorkspaceName) -> f64 {
+        self.pools.get(workspace).map_or(0.0, |pool| pool.share)
     }
 
     /// Returns the requests a second that all nodes of the domain see, by workspace.
@@ -208,24 +208,24 @@
 
     /// Returns the tokens of a workspace that nobody has been given.
     #[must_use]
-    pub fn free(&self, workspace: &WorkspaceName) -> f64 {
+    pub fn available(&self, workspace: &WorkspaceName) -> f64 {
         self.pools.get(workspace).map_or(0.0, |pool| pool.tokens)
     }
 }
 
 impl Pool {
     fn rate(&self, tolerance: &Tolerance) -> f64 {
-        self.limit.refill(tolerance) * self.part
+        self.limit.refill_rate(tolerance) * self.share
     }
 
     /// Returns the most tokens that may be here and with nodes.
     fn room(&self, tolerance: &Tolerance, began: Moment, now: Moment) -> f64 {
         let room = if now.since(began) < YOUNG {
-            self.limit.young_room(tolerance)
+            self.limit.startup_capacity(tolerance)
         } else {
-            self.limit.room(tolerance)
+            self.limit.capacity(tolerance)
         };
-        room * self.part
+        room * self.share
     }
 
     fn handed_out(&self) -> f64 {
@@ -241,7 +241,7 @@
         let kept = self.accounts.values();
         let kept = kept.map(|account| f64::from(account.held - account.recalled));
         let kept = kept.sum::<f64>();
-        whole((kept - self.limit.room(tolerance) * self.part).ceil())
+        whole((kept - self.limit.capacity(tolerance) * self.share).ceil())
     }
 
     /// Adds what came in since the last time, up to what may be there.
--- a/crates/quota/src/cache.rs
+++ b/crates/quota/src/cache.rs
@@ -23,13 +23,13 @@
 
 /// What became of the attempt to take a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum Acquisition {
     /// It was taken.
     Token,
     /// There is none, and more come after this time.
-    Dry(Duration),
+    Exhausted(Duration),
     /// There is none here; the allocator is to be asked.
-    Ask,
+    Fetch,
 }
 
 /// The tokens of one workspace.
@@ -75,12 +75,12 @@
 
 impl Cache {
     /// Takes a token for a request that has just come.
-    pub fn take(&mut self, workspace: &WorkspaceName, now: Moment) -> Taken {
+    pub fn acquire(&mut self, workspace: &WorkspaceName, now: Moment) -> Acquisition {
         if !self.stocks.contains_key(workspace) {
             self.stocks.insert(workspace.clone(), Stock::default());
         }
         let Some(stock) = self.stocks.get_mut(workspace) else {
-            return Taken::Ask;
+            return Acquisition::Fetch;
         };
         stock.demand.note(1, now);
         stock.seen += 1;
@@ -89,13 +89,13 @@
     }
 
     /// Takes a token for a request that has waited for one.
-    pub fn take_again(&mut self, workspace: &WorkspaceName, now: Moment) -> Taken {
+    pub fn acquire_waiting(&mut self, workspace: &WorkspaceName, now: Moment) -> Acquisition {
         let stock = self.stocks.get_mut(workspace);
-        stock.map_or(Taken::Ask, |stock| stock.take(now))
+        stock.map_or(Acquisition::Fetch, |stock| stock.take(now))
     }
 
     /// Notes that a request waits for a token, or no longer does.
-    pub fn wait(&mut self, workspace: &WorkspaceName, waits: bool) {
+    pub fn set_waiting(&mut self, workspace: &WorkspaceName, waits: bool) {
         if let Some(stock) = self.stocks.get_mut(workspace) {
             stock.waiting = if waits {
                 stock.waiting + 1
@@ -106,7 +106,7 @@
     }
 
     /// Gives a token back whose request did not run.
-    pub fn give_back(&mut self, workspace: &WorkspaceName) {
+    pub fn refund(&mut self, workspace: &WorkspaceName) {
         if let Some(stock) = self.stocks.get_mut(workspace) {
             stock.held += 1;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Voids the tokens of a workspace, since its limit has changed.
-    pub fn void(&mut self, workspace: &WorkspaceName) {
+    pub fn invalidate(&mut self, workspace: &WorkspaceName) {
         if let Some(stock) = self.stocks.get_mut(workspace) {
             stock.held = 0;
             stock.dry_until = None;
@@ -165,15 +165,15 @@
         }
     }
 
-    fn take(&mut self, now: Moment) -> Taken {
+    fn take(&mut self, now: Moment) -> Acquisition {
         self.held = self.good(now);
         if self.held > 0 {
             self.held -= 1;
-            return Taken::Token;
+            return Acquisition::Token;
         }
         match self.dry_until {
-            Some(until) if until > now => Taken::Dry(until.since(now)),
-            _ => Taken::Ask,
+            Some(until) if until > now => Acquisition::Exhausted(until.since(now)),
+            _ => Acquisition::Fetch,
         }
     }
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -16,9 +16,9 @@
 mod cache;
 mod limit;
 mod meter;
-mod parts;
+mod shares;
 
 pub use allocator::{Allocator, Grant, Holder, Want};
-pub use cache::{Cache, Taken};
+pub use cache::{Acquisition, Cache};
 pub use limit::{Limit, Tolerance};
-pub use parts::{Claim, Domain, Held, LAPSED, LEASE, Lease, Now, Parts};
+pub use shares::{Claim, Domain, Holding, LEASE_DURATION, LEASE_GRACE, Lease, Now, Shares};
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -36,25 +36,25 @@
     /// With the rate alone, and room for the burst besides, a workspace that asks steadily for a
     /// little more than its rate is refused what its limit allows in each window.
     #[must_use]
-    pub fn refill(&self, tolerance: &Tolerance) -> f64 {
+    pub fn refill_rate(&self, tolerance: &Tolerance) -> f64 {
         self.rate + self.burst / tolerance.window.as_secs_f64()
     }
 
     /// Returns the most tokens that may be there at once, in all places together.
     #[must_use]
-    pub fn room(&self, tolerance: &Tolerance) -> f64 {
+    pub fn capacity(&self, tolerance: &Tolerance) -> f64 {
         ROOM_SHARE * self.surplus(tolerance)
     }
 
     /// Returns the same for those of new allocators.
     #[must_use]
-    pub fn young_room(&self, tolerance: &Tolerance) -> f64 {
+    pub fn startup_capacity(&self, tolerance: &Tolerance) -> f64 {
         YOUNG_ROOM_SHARE * self.surplus(tolerance)
     }
 
     /// Returns how many requests may run in a window beside those that the limit allows.
     fn surplus(&self, tolerance: &Tolerance) -> f64 {
-        let allowed = self.refill(tolerance) * tolerance.window.as_secs_f64();
+        let allowed = self.refill_rate(tolerance) * tolerance.window.as_secs_f64();
         tolerance.overage * allowed + tolerance.slack
     }
 }
--- a/crates/quota/src/parts.rs
+++ b/crates/quota/src/shares.rs
@@ -15,10 +15,10 @@
 
 /// How long an allocator may go without renewing its lease: two lost renewals, and no longer than
 /// callers of a node that has lost the store are served on its behalf.
-pub const LEASE: Duration = Duration::from_secs(4);
+pub const LEASE_DURATION: Duration = Duration::from_secs(4);
 /// How long after the end of a lease the parts of a domain are left alone: its nodes may still
 /// use tokens.
-pub const LAPSED: Duration = HOLD.saturating_add(Duration::from_secs(1));
+pub const LEASE_GRACE: Duration = HOLD.saturating_add(Duration::from_secs(1));
 /// The demand of a workspace is taken for that of this many requests a second more, divided as
 /// the demand of all workspaces is: of few requests, how they divide is mostly chance, and a domain
 /// where a workspace was quiet has something for its first requests.
@@ -36,7 +36,8 @@
     /// The allocator,
     pub holder: NodeName,
     /// and its life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Grows with each allocator of the domain.
     pub term: u64,
     /// When it ends, in milliseconds of the store's clock.
@@ -50,7 +51,7 @@
     /// Returns true if it has ended, or ends later than any lease that is given now: the clock of
     /// the store has begun anew since then.
     fn has_ended(&self, now: Now) -> bool {
-        let longest = now.at_most_ms + 2 * millis(LEASE);
+        let longest = now.at_most_ms + 2 * millis(LEASE_DURATION);
         self.until_ms <= now.at_least_ms || self.until_ms > longest
     }
 }
@@ -63,12 +64,13 @@
     /// The requests a second that its nodes see.
     pub demand: BTreeMap<WorkspaceName, f64>,
     /// Its parts of the limits, from 0 to 1.
-    pub parts: BTreeMap<WorkspaceName, f64>,
+    #[serde(rename = "parts")]
+    pub shares: BTreeMap<WorkspaceName, f64>,
 }
 
 /// All failure domains.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Parts {
+pub struct Shares {
     /// The domains that had an allocator lately.
     pub domains: BTreeMap<DomainName, Domain>,
     /// The era of the store in which it was last written.
@@ -76,17 +78,17 @@
     pub era: u64,
     /// When it was first written after the store came back from a copy, in milliseconds of the store's
     /// clock; zero if that was not seen.
-    #[serde(default)]
-    pub copied_ms: u64,
+    #[serde(default, rename = "copied_ms")]
+    pub restored_ms: u64,
 }
 
 /// What an allocator has, as it knows itself.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct Holding {
     /// Its term,
     pub term: u64,
     /// and the parts by which it gives tokens.
-    pub parts: BTreeMap<WorkspaceName, f64>,
+    pub shares: BTreeMap<WorkspaceName, f64>,
 }
 
 /// What an allocator, or a node that wants to be one, says of itself.
@@ -97,17 +99,17 @@
     /// Who it is,
     pub node: NodeName,
     /// and its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// How many failure domains it knows, its own included.
-    pub domains: usize,
+    pub domain_count: usize,
     /// It is not the allocator yet, so it knows no demand.
     pub is_new: bool,
     /// The era of the store,
     pub era: u64,
     /// and whether the node has seen an earlier one.
-    pub knows_copy: bool,
+    pub has_seen_restore: bool,
     /// What it has while its lease holds.
-    pub held: Option<Held>,
+    pub holding: Option<Holding>,
     /// The requests a second that nodes of its domain see.
     pub demand: BTreeMap<WorkspaceName, f64>,
     /// The workspaces that have limits.
@@ -123,7 +125,7 @@
     pub at_most_ms: u64,
 }
 
-impl Parts {
+impl Shares {
     /// Renews the lease of a domain or takes it over, and moves its parts towards the demand;
     /// returns the lease, or nothing if another node has it.
     ///
@@ -142,30 +144,32 @@
         let is_lost = self.is_settling(now) && lease.is_none_or(|lease| lease.era != self.era);
         let term = match lease {
             // The copy does not know who had the role last; that node does.
-            _ if is_lost => claim.held.as_ref()?.term,
+            _ if is_lost => claim.holding.as_ref()?.term,
             None => 1,
-            Some(lease) if lease.holder == claim.node && lease.life == claim.life => lease.term,
+            Some(lease) if lease.holder == claim.node && lease.incarnation == claim.incarnation => {
+                lease.term
+            }
             Some(lease) if lease.has_ended(now) || is_gone(lease) => lease.term + 1,
             Some(_) => return None,
         };
         let lease = Lease {
             holder: claim.node.clone(),
-            life: claim.life,
+            incarnation: claim.incarnation,
             term,
-            until_ms: now.at_most_ms + millis(LEASE),
+            until_ms: now.at_most_ms + millis(LEASE_DURATION),
             era: self.era,
         };
-        let parts = claim.limited.iter().map(|workspace| {
-            let part = if self.is_settling(now) {
-                self.settled_part(claim, workspace)
+        let shares = claim.limited.iter().map(|workspace| {
+            let share = if self.is_settling(now) {
+                self.settled_share(claim, workspace)
             } else {
-                self.next_part(claim, workspace)
+                self.next_share(claim, workspace)
             };
-            (workspace.clone(), part)
+            (workspace.clone(), share)
         });
         let domain = Domain {
             lease: lease.clone(),
-            parts: parts.collect(),
+            shares: shares.collect(),
             demand: claim.demand.clone(),
         };
         self.domains.insert(claim.domain.clone(), domain);
@@ -174,9 +178,16 @@
 
     /// Ends the lease of a node that stops, so that another one can take it over at once; the
     /// parts stay those of the domain, as after any other end.
-    pub fn release(&mut self, domain: &DomainName, node: &NodeName, life: u64, now: Now) -> bool {
+    pub fn release(
+        &mut self,
+        domain: &DomainName,
+        node: &NodeName,
+        incarnation: u64,
+        now: Now,
+    ) -> bool {
         let known = self.domains.get_mut(domain);
-        let own = known.filter(|known| known.lease.holder == *node && known.lease.life == life);
+        let own = known
+            .filter(|known| known.lease.holder == *node && known.lease.incarnation == incarnation);
         let is_own = own.is_some();
         if let Some(domain) = own {
             domain.lease.until_ms = domain.lease.until_ms.min(now.at_least_ms);
@@ -186,10 +197,10 @@
 
     /// Returns the part of a workspace's limit that a domain has.
     #[must_use]
-    pub fn part(&self, domain: &DomainName, workspace: &WorkspaceName) -> f64 {
+    pub fn share(&self, domain: &DomainName, workspace: &WorkspaceName) -> f64 {
         let domain = self.domains.get(domain);
-        let part = domain.and_then(|domain| domain.parts.get(workspace));
-        part.copied().unwrap_or(0.0)
+        let share = domain.and_then(|domain| domain.shares.get(workspace));
+        share.copied().unwrap_or(0.0)
     }
 
     /// Returns a claim with the demand that was known before, if its node has seen none yet.
@@ -213,70 +224,73 @@
             return;
         }
         // A row that nobody wrote may be the first one, or lost.
-        let is_copy = self.era > 0 || claim.knows_copy;
+        let is_copy = self.era > 0 || claim.has_seen_restore;
         self.era = claim.era;
-        self.copied_ms = if is_copy { now.at_most_ms } else { 0 };
+        self.restored_ms = if is_copy { now.at_most_ms } else { 0 };
     }
 
     /// Returns true for as long as what the copy lacks may be in use: until the leases of before have
     /// ended, and the tokens given by them. Until then only those who hold a lease go on, each with
     /// the parts that it has, and those whom they hand it over.
     fn is_settling(&self, now: Now) -> bool {
-        let end = self.copied_ms + millis(LEASE) + millis(LAPSED);
-        self.copied_ms > 0 && now.at_least_ms < end
+        let end = self.restored_ms + millis(LEASE_DURATION) + millis(LEASE_GRACE);
+        self.restored_ms > 0 && now.at_least_ms < end
     }
 
     /// Returns the part of a domain while parts are not moved.
-    fn settled_part(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
-        let held = claim.held.as_ref().map(|held| held.parts.get(workspace));
-        match held {
-            Some(part) => part.copied().unwrap_or(0.0),
-            None => self.part(&claim.domain, workspace),
+    fn settled_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
+        let holding = claim
+            .holding
+            .as_ref()
+            .map(|holding| holding.shares.get(workspace));
+        match holding {
+            Some(share) => share.copied().unwrap_or(0.0),
+            None => self.share(&claim.domain, workspace),
         }
     }
 
     fn forget_lapsed(&mut self, claim: &Claim, now: Now) {
         self.domains.retain(|name, domain| {
-            let end = domain.lease.until_ms + millis(LAPSED);
+            let end = domain.lease.until_ms + millis(LEASE_GRACE);
             *name == claim.domain || end > now.at_least_ms
         });
     }
 
     /// Returns the part that the domain is to have next: lowered at once, raised by what is free.
-    fn next_part(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
-        let part = self.part(&claim.domain, workspace);
+    fn next_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
+        let share = self.share(&claim.domain, workspace);
         let others = self.domains.keys().filter(|name| **name != claim.domain);
-        let taken: f64 = others.map(|name| self.part(name, workspace)).sum();
-        let free = (1.0 - taken - part).max(0.0);
-        let wanted = self.wanted_part(claim, workspace);
-        let next = if wanted * LOWER_FROM < part {
-            wanted.max(part * LOWEST_STEP)
-        } else if wanted <= part {
-            return part;
+        let taken: f64 = others.map(|name| self.share(name, workspace)).sum();
+        let free = (1.0 - taken - share).max(0.0);
+        let wanted = self.wanted_share(claim, workspace);
+        let next = if wanted * LOWER_FROM < share {
+            wanted.max(share * LOWEST_STEP)
+        } else if wanted <= share {
+            return share;
         } else {
-            wanted.min(part + free)
+            wanted.min(share + free)
         };
         (next * STEPS).floor() / STEPS
     }
 
     /// Returns the part that the demand in the domain stands for.
-    fn wanted_part(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
+    fn wanted_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
         let own = claim.demand.get(workspace).copied().unwrap_or(0.0);
         let others = self.others(claim);
         let others = others.filter_map(|domain| domain.demand.get(workspace));
         let all = own + others.sum::<f64>();
-        let common = COMMON_DEMAND * self.common_part(claim);
+        let common = COMMON_DEMAND * self.common_share(claim);
         (own + common) / (all + COMMON_DEMAND)
     }
 
     /// Returns the part of the demand of all workspaces that is in the domain.
     #[allow(clippy::cast_precision_loss, reason = "domains are few")]
-    fn common_part(&self, claim: &Claim) -> f64 {
+    fn common_share(&self, claim: &Claim) -> f64 {
         let own: f64 = claim.demand.values().sum();
         let others = self.others(claim).flat_map(|domain| domain.demand.values());
         let all = own + others.sum::<f64>();
         let names = self.domains.keys().chain([&claim.domain]);
-        let names = names.collect::<HashSet<_>>().len().max(claim.domains) as f64;
+        let names = names.collect::<HashSet<_>>().len().max(claim.domain_count) as f64;
         // A little for each, since a domain may have had no demand yet.
         (own + COMMON_DEMAND) / (all + COMMON_DEMAND * names)
     }
--- a/crates/quota/tests/copies.rs
+++ b/crates/quota/tests/copies.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use sailtrack_quota::{Claim, Held, LAPSED, LEASE, Now, Parts};
+use sailtrack_quota::{Claim, Holding, LEASE_DURATION, LEASE_GRACE, Now, Shares};
 use sailtrack_units::{DomainName, WorkspaceName};
 
 /// Two nodes in each of three failure domains.
@@ -47,14 +47,14 @@
 /// The row, with the version at which it was last changed.
 #[derive(Debug, Clone, Default)]
 struct Stored {
-    parts: Parts,
+    shares: Shares,
     version: u64,
 }
 
 /// What a node has read and is about to write.
 #[derive(Debug, Clone)]
 struct Draft {
-    parts: Parts,
+    shares: Shares,
     version: u64,
     era: u64,
     asked: u64,
@@ -67,15 +67,15 @@
     number: u64,
     until: u64,
     /// The part by which it gives tokens.
-    part: f64,
+    share: f64,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Node {
-    life: u64,
+    incarnation: u64,
     /// The latest era of which it has heard, and whether it had heard of one before.
     era: Option<u64>,
-    knows_copy: bool,
+    has_seen_restore: bool,
     demand: f64,
     draft: Option<Draft>,
     term: Option<Term>,
@@ -141,47 +141,47 @@
     }
 
     fn restart(&mut self, node: usize) {
-        let life = self.nodes[node].life + 1;
+        let incarnation = self.nodes[node].incarnation + 1;
         let lost = std::mem::replace(
             &mut self.nodes[node],
             Node {
-                life,
+                incarnation,
                 ..Node::default()
             },
         );
         if let Some(term) = lost.term {
-            self.ended.push((node % DOMAINS, self.now, term.part));
+            self.ended.push((node % DOMAINS, self.now, term.share));
         }
     }
 
     fn end_leases(&mut self) {
         for (number, node) in self.nodes.iter_mut().enumerate() {
             if let Some(term) = node.term.take_if(|term| term.until <= self.now) {
-                self.ended.push((number % DOMAINS, term.until, term.part));
+                self.ended.push((number % DOMAINS, term.until, term.share));
             }
         }
-        let kept = millis(LAPSED) - 1000;
+        let kept = millis(LEASE_GRACE) - 1000;
         self.ended.retain(|(_, ended, _)| ended + kept > self.now);
     }
 
     fn read(&mut self, number: usize) {
         let era = self.era;
         let node = &mut self.nodes[number];
-        node.knows_copy |= node.era.is_some_and(|known| known < era);
+        node.has_seen_restore |= node.era.is_some_and(|known| known < era);
         node.era = Some(era);
-        let held = node.term.as_ref().map(|term| Held {
+        let holding = node.term.as_ref().map(|term| Holding {
             term: term.number,
-            parts: [(self.workspace.clone(), term.part)].into(),
+            shares: [(self.workspace.clone(), term.share)].into(),
         });
         let claim = Claim {
             domain: domain(number),
             node: format!("n{number}").parse().expect("a sound name"),
-            life: node.life,
-            domains: DOMAINS,
+            incarnation: node.incarnation,
+            domain_count: DOMAINS,
             is_new: node.term.is_none(),
             era,
-            knows_copy: node.knows_copy,
-            held,
+            has_seen_restore: node.has_seen_restore,
+            holding,
             demand: BTreeMap::from([(self.workspace.clone(), node.demand)]),
             limited: vec![self.workspace.clone()],
         };
@@ -189,18 +189,18 @@
             at_least_ms: self.now,
             at_most_ms: self.now,
         };
-        let mut parts = self.store.parts.clone();
-        let lease = parts.claim(&claim, now, |lease| {
-            lease.holder == claim.node && lease.life != claim.life
+        let mut shares = self.store.shares.clone();
+        let lease = shares.claim(&claim, now, |lease| {
+            lease.holder == claim.node && lease.incarnation != claim.incarnation
         });
         // What is lowered is given up before it is written.
         if let (Some(term), Some(_)) = (&mut node.term, &lease) {
-            let next = parts.part(&claim.domain, &self.workspace);
-            term.part = term.part.min(next);
+            let next = shares.share(&claim.domain, &self.workspace);
+            term.share = term.share.min(next);
         }
         node.draft = Some(Draft {
             is_claimed: lease.is_some(),
-            parts,
+            shares,
             version: self.store.version,
             era,
             asked: self.now,
@@ -217,7 +217,7 @@
             return;
         }
         self.store.version += 1;
-        self.store.parts = draft.parts.clone();
+        self.store.shares = draft.shares.clone();
         if draft.is_claimed {
             // The next allocator of a domain answers for the tokens of the one before: it begins with
             // less room, also if it moves the part at once.
@@ -229,9 +229,9 @@
         let name = domain(number);
         let node = &mut self.nodes[number];
         node.term = Some(Term {
-            number: draft.parts.domains[&name].lease.term,
-            until: draft.asked + millis(LEASE),
-            part: draft.parts.part(&name, &self.workspace),
+            number: draft.shares.domains[&name].lease.term,
+            until: draft.asked + millis(LEASE_DURATION),
+            share: draft.shares.share(&name, &self.workspace),
         });
     }
 
@@ -242,18 +242,18 @@
     }
 
     /// Returns the parts by which all domains give tokens, or have given those that are still used.
-    fn all_parts(&self) -> f64 {
-        let parts = (0..DOMAINS).map(|domain| {
+    fn all_shares(&self) -> f64 {
+        let shares = (0..DOMAINS).map(|domain| {
             let nodes = self.nodes.iter().enumerate();
             let near = nodes.filter(|(number, _)| number % DOMAINS == domain);
             let term = near
                 .map(|(_, node)| node.term.as_ref())
                 .find(Option::is_some);
             let ended = self.ended.iter().filter(|ended| ended.0 == domain);
-            let ended = ended.map(|(_, _, part)| *part).fold(0.0, f64::max);
-            term.flatten().map_or(ended, |term| term.part)
+            let ended = ended.map(|(_, _, share)| *share).fold(0.0, f64::max);
+            term.flatten().map_or(ended, |term| term.share)
         });
-        parts.sum()
+        shares.sum()
     }
 }
 
@@ -268,7 +268,7 @@
             for domain in 0..DOMAINS {
                 prop_assert!(world.allocators(domain) <= 1, "two in domain {domain}");
             }
-            prop_assert!(world.all_parts() <= 1.0 + 1e-6, "{} parts", world.all_parts());
+            prop_assert!(world.all_shares() <= 1.0 + 1e-6, "{} shares", world.all_shares());
         }
     }
 }
--- a/crates/quota/tests/interleavings.rs
+++ b/crates/quota/tests/interleavings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use sailtrack_quota::{Allocator, Cache, Grant, Holder, Limit, Taken, Tolerance, Want};
+use sailtrack_quota::{Acquisition, Allocator, Cache, Grant, Holder, Limit, Tolerance, Want};
 use sailtrack_units::{Moment, WorkspaceName};
 
 const NODES: usize = 3;
@@ -88,7 +88,7 @@
         let nodes = (0..NODES).map(|number| Node {
             holder: Holder {
                 node: format!("n{number}").parse().expect("a sound name"),
-                life: 1,
+                incarnation: 1,
             },
             cache: Cache::default(),
             question: 0,
@@ -111,7 +111,7 @@
         let limits = [(self.workspace.clone(), LIMIT)].into();
         self.allocator = Allocator::new(TOLERANCE, self.now);
         self.allocator.set_limits(&limits, self.now);
-        self.allocator.set_part(&self.workspace, 1.0, self.now);
+        self.allocator.set_share(&self.workspace, 1.0, self.now);
     }
 
     fn play(&mut self, step: Step) {
@@ -119,8 +119,8 @@
             Step::Wait(millis) => self.now = self.now + Duration::from_millis(millis),
             Step::Requests(node, count) => {
                 for _ in 0..count {
-                    let taken = self.nodes[node].cache.take(&self.workspace, self.now);
-                    if taken == Taken::Token {
+                    let taken = self.nodes[node].cache.acquire(&self.workspace, self.now);
+                    if taken == Acquisition::Token {
                         self.ran.push(self.now);
                     }
                 }
@@ -140,9 +140,9 @@
 
     fn ask(&mut self, number: usize) {
         let node = &mut self.nodes[number];
-        node.cache.wait(&self.workspace, true);
+        node.cache.set_waiting(&self.workspace, true);
         let wants = node.cache.wants(self.now);
-        node.cache.wait(&self.workspace, false);
+        node.cache.set_waiting(&self.workspace, false);
         node.question += 1;
         node.awaits = true;
         for (_, want) in wants {
@@ -171,7 +171,7 @@
         let asked = (holder, question.number);
         let grant = self
             .allocator
-            .ask(asked, &self.workspace, question.want, self.now);
+            .allocate(asked, &self.workspace, question.want, self.now);
         self.answers
             .push((question, grant.expect("it has a limit")));
     }
@@ -213,7 +213,7 @@
             }
         }
         let all = held.sum::<u32>() + given.iter().sum::<u32>();
-        self.allocator.free(&self.workspace) + f64::from(all)
+        self.allocator.available(&self.workspace) + f64::from(all)
     }
 
     /// Returns the most requests that ran in any window.
@@ -237,8 +237,8 @@
     fn limit_holds(steps in prop::collection::vec(step(), 1..250)) {
         let mut world = World::new();
         let mut replaced = world.now;
-        let room = LIMIT.room(&TOLERANCE);
-        let young = LIMIT.young_room(&TOLERANCE);
+        let room = LIMIT.capacity(&TOLERANCE);
+        let young = LIMIT.startup_capacity(&TOLERANCE);
         for step in steps {
             let since = world.now.since(replaced);
             if matches!(step, Step::Replace) {
@@ -273,7 +273,7 @@
             (0..NODES).for_each(|node| world.fetch(node));
             world.play(Step::Wait(2600));
         }
-        let room = LIMIT.room(&TOLERANCE);
+        let room = LIMIT.capacity(&TOLERANCE);
         assert!(world.tokens() <= room, "{} tokens", world.tokens());
         (0..NODES).for_each(|node| world.fetch(node));
         world.play(Step::Replace);
@@ -312,6 +312,6 @@
     world.play(Step::Arrive(0, false));
     world.play(Step::Lose(0));
     world.play(Step::Answer(0));
-    let room = LIMIT.room(&TOLERANCE);
+    let room = LIMIT.capacity(&TOLERANCE);
     assert!(world.tokens() <= room, "{} tokens", world.tokens());
 }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -9,7 +9,9 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
-use sailtrack_quota::{Allocator, Cache, Claim, Holder, Limit, Now, Parts, Taken, Tolerance};
+use sailtrack_quota::{
+    Acquisition, Allocator, Cache, Claim, Holder, Limit, Now, Shares, Tolerance,
+};
 use sailtrack_units::{DomainName, Moment, WorkspaceName};
 
 /// How often nodes fetch ahead, and allocators renew their leases.
@@ -44,7 +46,7 @@
     pub limits: HashMap<WorkspaceName, Limit>,
     nodes: Vec<Node>,
     allocators: Vec<Option<Allocator>>,
-    parts: Parts,
+    shares: Shares,
     pub ends: BTreeMap<WorkspaceName, Ends>,
     looked: Duration,
     renewed: Duration,
@@ -78,7 +80,7 @@
                 domain,
                 holder: Holder {
                     node: format!("n{domain}-{number}").parse().expect("a sound name"),
-                    life: 1,
+                    incarnation: 1,
                 },
                 cache: Cache::default(),
                 questions: 0,
@@ -89,7 +91,7 @@
             tolerance: TOLERANCE,
             nodes: members.collect(),
             allocators: nodes.iter().map(|_| None).collect(),
-            parts: Parts::default(),
+            shares: Shares::default(),
             ends: limits
                 .keys()
                 .map(|name| (name.clone(), Ends::default()))
@@ -149,17 +151,17 @@
     /// Lets a request come to a node.
     pub fn request(&mut self, node: usize, name: &WorkspaceName) {
         let now = self.now;
-        let mut taken = self.nodes[node].cache.take(name, now);
-        if taken == Taken::Ask {
-            self.nodes[node].cache.wait(name, true);
+        let mut taken = self.nodes[node].cache.acquire(name, now);
+        if taken == Acquisition::Fetch {
+            self.nodes[node].cache.set_waiting(name, true);
             self.ask(node);
-            taken = self.nodes[node].cache.take_again(name, now);
-            self.nodes[node].cache.wait(name, false);
+            taken = self.nodes[node].cache.acquire_waiting(name, now);
+            self.nodes[node].cache.set_waiting(name, false);
         }
         let window = self.tolerance.window;
         let ends = self.ends.get_mut(name).expect("the workspace is known");
         ends.asked += 1;
-        if taken != Taken::Token {
+        if taken != Acquisition::Token {
             ends.refused += 1;
             return;
         }
@@ -201,7 +203,7 @@
     pub fn lose_allocator(&mut self, domain: usize) {
         self.allocators[domain] = None;
         let name = Self::domain(domain);
-        if let Some(domain) = self.parts.domains.get_mut(&name) {
+        if let Some(domain) = self.shares.domains.get_mut(&name) {
             domain.lease.until_ms = millis(self.now);
         }
     }
@@ -241,7 +243,7 @@
         };
         node.questions += 1;
         for (name, want) in wants {
-            let grant = allocator.ask((&node.holder, node.questions), &name, want, now);
+            let grant = allocator.allocate((&node.holder, node.questions), &name, want, now);
             if let Some(grant) = grant {
                 node.cache.receive(&name, grant, now);
             }
@@ -259,12 +261,12 @@
         let claim = Claim {
             domain: name.clone(),
             node: first.expect("each domain has a node").holder.node.clone(),
-            life: 1,
+            incarnation: 1,
             is_new: self.allocators[domain].is_none(),
-            domains: self.allocators.len(),
+            domain_count: self.allocators.len(),
             era: 0,
-            knows_copy: false,
-            held: None,
+            has_seen_restore: false,
+            holding: None,
             demand: demand.into_iter().collect(),
             limited: self.limits.keys().cloned().collect(),
         };
@@ -273,19 +275,19 @@
             at_least_ms: millis,
             at_most_ms: millis,
         };
-        let lease = self.parts.claim(&claim, clock, |_| false);
+        let lease = self.shares.claim(&claim, clock, |_| false);
         lease.expect("nobody else wants it");
         if self.allocators[domain].is_none() {
             let mut allocator = Allocator::new(self.tolerance, now);
             allocator.set_limits(&self.limits, now);
-            for (workspace, demand) in &self.parts.domains[&name].demand {
+            for (workspace, demand) in &self.shares.domains[&name].demand {
                 allocator.set_demand(workspace, *demand, now);
             }
             self.allocators[domain] = Some(allocator);
         }
         let allocator = self.allocators[domain].as_mut().expect("it is there");
         for workspace in self.limits.keys() {
-            allocator.set_part(workspace, self.parts.part(&name, workspace), now);
+            allocator.set_share(workspace, self.shares.share(&name, workspace), now);
         }
     }
 }
