--- a/crates/quarantine/src/identity.rs
+++ b/crates/quarantine/src/identity.rs
@@ -1,36 +1,37 @@
-//! What a request asks for, told from what another one asks for.
+//! Identifies equal requests by a hash of their content.
 
 use std::fmt;
 use std::str::FromStr;
 
 use displaydoc::Display;
 
-/// The bytes that stand for the whole request. To find two requests with the same ones takes some
-/// 2^64 tries, so nobody makes another caller's request look like a harmful one.
+/// Length of the request digest. Finding a collision takes about 2^64 attempts, so a caller cannot
+/// craft a poison request with the identity of another caller's request.
 const DIGEST_BYTES: usize = 16;
-/// The bytes that stand for the caller alone; two callers that share them share a bound.
+/// Length of the caller hash. Two callers with the same hash share one limit on ledger entries.
 const CALLER_BYTES: usize = 4;
-/// The bytes of an identity.
+/// Length of a serialized identity.
 pub const IDENTITY_BYTES: usize = DIGEST_BYTES + CALLER_BYTES;
-/// The digits by which logs name a request among the some hundred that ran beside it.
+/// Length of the abbreviated form for logs, enough to tell apart the hundred or so requests in
+/// flight at one crash.
 const SHORT_DIGITS: usize = 12;
 
-/// Stands for a request by what it asks: its method, host, target, body, and on whose behalf.
+/// The identity of a request: a digest of its workspace, method, host, target and body.
 ///
-/// Each attempt of a caller has an id of its own; this is the same for all of them, wherever they
-/// come in. Who is made to answer for it is kept beside it, and makes no difference between two.
+/// All attempts of a caller share it, on whichever node they arrive, while each has its own request
+/// id. The caller is carried along for accounting and does not take part in comparison.
 #[derive(Debug, Clone, Copy)]
 pub struct Identity {
     digest: [u8; DIGEST_BYTES],
     caller: Caller,
 }
 
-/// Who is made to answer for a request, as far as it tells.
+/// A hash of the caller that a request is accounted to, as the request states it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Caller([u8; CALLER_BYTES]);
 
 impl Caller {
-    /// Returns the caller that says this of itself.
+    /// Returns the caller with a given name.
     #[must_use]
     pub fn named(name: &[u8]) -> Self {
         let mut caller = [0; CALLER_BYTES];
@@ -65,14 +66,14 @@
     }
 }
 
-/// an identity has 32 hexadecimal digits: {0:?}
+/// request identity {0:?} is not 32 hexadecimal digits
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub struct IdentityError(String);
 
 impl std::error::Error for IdentityError {}
 
 impl Identity {
-    /// Returns the identity that these bytes are, if there are as many as one has.
+    /// Parses the bytes written by `to_bytes`; returns `None` if the length is wrong.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let (digest, caller) = bytes.split_at_checked(DIGEST_BYTES)?;
@@ -82,7 +83,7 @@
         })
     }
 
-    /// Returns its bytes.
+    /// Returns the digest followed by the caller hash.
     #[must_use]
     pub fn to_bytes(&self) -> [u8; IDENTITY_BYTES] {
         let mut bytes = [0; IDENTITY_BYTES];
@@ -91,13 +92,13 @@
         bytes
     }
 
-    /// Returns who is made to answer for it.
+    /// Returns the caller that the request is accounted to.
     #[must_use]
     pub fn caller(&self) -> Caller {
         self.caller
     }
 
-    /// Returns how its text begins, enough to find it in logs.
+    /// Returns the first digits of the textual form, for logs.
     #[must_use]
     pub fn short(&self) -> String {
         let mut text = self.to_string();
@@ -105,11 +106,12 @@
         text
     }
 
-    /// Returns how much a place is preferred for this request; every node gets the same number.
+    /// Returns the weight of a target in rendezvous hashing: the target with the greatest weight is
+    /// preferred for this request, and all nodes compute the same weights.
     #[must_use]
-    pub fn preference(&self, place: &str) -> u64 {
+    pub fn preference(&self, target: &str) -> u64 {
         let mut bytes = self.digest.to_vec();
-        bytes.extend_from_slice(place.as_bytes());
+        bytes.extend_from_slice(target.as_bytes());
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 }
@@ -130,8 +132,8 @@
             return Err(error());
         }
         let mut digest = [0; DIGEST_BYTES];
-        for (place, byte) in digest.iter_mut().enumerate() {
-            let digits = &text[2 * place..2 * place + 2];
+        for (index, byte) in digest.iter_mut().enumerate() {
+            let digits = &text[2 * index..2 * index + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| error())?;
         }
         let caller = Caller::default();
@@ -139,7 +141,7 @@
     }
 }
 
-/// Takes in a request piece by piece and returns its identity.
+/// Computes the identity of a request incrementally.
 #[derive(Clone)]
 pub struct Hasher {
     request: blake3::Hasher,
@@ -147,10 +149,11 @@
 }
 
 impl Hasher {
-    /// Starts with what is known before the body: on whose behalf it comes, its method, host and
-    /// target, in a fixed order.
+    /// Starts with the parts known before the body, in a fixed order: the workspace, method, host
+    /// and target.
     ///
-    /// Each part goes in with its length, so that nothing of one can pass for the next.
+    /// Each part is prefixed with its length, so that moving bytes from one part to the next changes
+    /// the digest.
     #[must_use]
     pub fn new(parts: &[&[u8]], caller: Caller) -> Self {
         let mut request = blake3::Hasher::new();
@@ -161,9 +164,9 @@
         Self { request, caller }
     }
 
-    /// Takes in a piece of the body; how it is cut into pieces makes no difference.
-    pub fn update(&mut self, piece: &[u8]) {
-        self.request.update(piece);
+    /// Adds a chunk of the body. Chunk boundaries do not affect the digest.
+    pub fn update(&mut self, chunk: &[u8]) {
+        self.request.update(chunk);
     }
 
     /// Returns the identity of the request.
--- a/crates/quarantine/tests/identities.rs
+++ b/crates/quarantine/tests/identities.rs
@@ -1,12 +1,12 @@
-//! Two requests have the same identity if they ask the same, and only then.
+//! Two requests have the same identity exactly if their content is equal.
 
 use proptest::prelude::*;
 use sailtrack_quarantine::{Caller, Hasher, Identity};
 
 fn identity(parts: [&str; 4], body: &[&[u8]]) -> Identity {
     let mut hasher = Hasher::new(&parts.map(str::as_bytes), Caller::named(b"shop"));
-    for piece in body {
-        hasher.update(piece);
+    for chunk in body {
+        hasher.update(chunk);
     }
     hasher.finish()
 }
@@ -25,9 +25,9 @@
 fn each_part_counts() {
     let parts = ["token 7", "POST", "a.example", "/pay/7?x=1"];
     let whole = identity(parts, &[b"17"]);
-    for place in 0..parts.len() {
+    for index in 0..parts.len() {
         let mut other = parts;
-        other[place] = "b";
+        other[index] = "b";
         assert_ne!(whole, identity(other, &[b"17"]), "{other:?}");
     }
     assert_ne!(whole, identity(parts, &[b"18"]));
@@ -42,15 +42,15 @@
     assert_ne!(one, identity(["tG", "ET", "a", "/b"], &[b"c"]));
 }
 
-/// Who answers for a request makes no difference between two, and goes with it between nodes.
+/// The caller does not affect equality, and is preserved by serialization.
 #[test]
 fn caller_beside_it() {
-    let of = |caller| Hasher::new(&[b"/1"], caller).finish();
+    let identity_of = |caller| Hasher::new(&[b"/1"], caller).finish();
     let (shop, bank) = (Caller::named(b"shop"), Caller::named(b"bank"));
-    assert_eq!(of(shop), of(bank));
-    assert_ne!(of(shop).caller(), of(bank).caller());
-    let passed_on = Identity::from_bytes(&of(bank).to_bytes()).expect("they are its bytes");
-    assert_eq!(passed_on.caller(), bank);
+    assert_eq!(identity_of(shop), identity_of(bank));
+    assert_ne!(identity_of(shop).caller(), identity_of(bank).caller());
+    let decoded = Identity::from_bytes(&identity_of(bank).to_bytes()).expect("valid length");
+    assert_eq!(decoded.caller(), bank);
 }
 
 #[test]
