--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,25 +1,29 @@
-//! What is held against requests that ran when upstreams ended.
+//! Records which requests were in flight when upstreams crashed, and decides which to quarantine.
 //!
-//! Whatever ran when an upstream ended may have ended it, most of it did not.
-//! So evidence is weighed by four things:
+//! Any request in flight at a crash may have caused it, but most did not. The
+//! evidence against a request is weighed by four rules:
 //!
-//! - **Generations.** A crash counts as a further one only if the request was
-//!   sent by somebody who knew of the crashes before it. A failure domain that
-//!   loses all its upstreams at once is one crash to whatever ran in several
-//!   of them.
-//! - **Good ends.** A request that ended well after a crash is cleared. One
-//!   that ends whatever runs it never does.
-//! - **Trials.** A request that was there twice runs one at a time, beside no
-//!   other one on trial, at the upstream that all nodes prefer for it. Only a
-//!   crash under a trial puts it into quarantine: the second one if another
-//!   suspect ran there, the first one if four upstreams had ended under it.
-//! - **Familiarity.** What ended well lately needs two more crashes.
+//! - **Consecutive crashes.** A crash adds to a request's count only if the
+//!   request was sent with knowledge of its earlier crashes. If a failure
+//!   domain loses all its upstreams at once, that counts as one crash for a
+//!   request that ran on several of them.
+//! - **Success.** A request that succeeds after a crash is cleared. A poison
+//!   request, which crashes every upstream that runs it, never succeeds.
+//! - **Trials.** After its second consecutive crash, a request runs on trial:
+//!   one at a time, never beside another request on trial, on the upstream that
+//!   all nodes prefer for it. So does one that was alone at a crash, or that
+//!   was in flight on three crashed upstreams. Only a crash during a trial
+//!   leads to quarantine, normally the third consecutive crash. It takes a
+//!   fourth one if another suspect was in flight at the third, and the second
+//!   one is enough if four upstreams crashed while running the request.
+//! - **Recent success.** A request that succeeded recently needs two more
+//!   crashes to be quarantined.
 //!
-//! In the load model, with 100 requests in each of 20 upstreams: of 44,103
-//! requests without fault that ran when upstreams crashed once a second, 1 was
-//! put into quarantine; of 76,958 beside harmful ones and 1.4 crashes a second
-//! 7, where it was 32 of 69,670 without the last rule. A harmful request ended
-//! three or four upstreams.
+//! In the load model with 20 upstreams running 100 requests each, and one
+//! random crash per second, 1 of the 44,103 harmless requests in flight at a
+//! crash was quarantined. With poison requests and 1.4 crashes per second it
+//! was 7 of 76,958, and 32 of 69,670 without the recent success rule. A poison
+//! request crashed three or four upstreams before it was quarantined.
 
 mod entry;
 mod record;
@@ -29,71 +33,73 @@
 
 use sailtrack_units::Moment;
 
-use crate::familiar::Familiar;
 use crate::identity::{Caller, Identity};
+use crate::recent::Successes;
 use crate::standing::Standing;
-pub(crate) use entry::{Beside, Entry, incarnation_hash};
+pub(crate) use entry::{Concurrency, Entry, incarnation_hash};
 pub use record::Record;
 
-/// How long a request without a verdict is remembered: callers that send one again do so after
-/// seconds or a few minutes.
-const MEMORY: Duration = Duration::from_mins(10);
-/// The most requests that are remembered, some 100 bytes each: the requests of 80 crashes with a
-/// hundred in each.
-const MOST_ENTRIES: usize = 8192;
-/// The most of one caller. One that makes up harmful requests pushes out its own.
-const MOST_OF_CALLER: usize = 2048;
-/// How many lifted verdicts are remembered, so that a node that comes back does not bring them up
-/// again.
-const MOST_CLEARED: usize = 256;
-/// The most records that a node which connects is told; of many nodes each tells other ones.
-const MOST_TOLD: usize = 128;
-
-/// One request that ran when an upstream ended.
+/// How long a suspect that is not quarantined is remembered. Callers retry within seconds or a few
+/// minutes.
+const SUSPECT_LIFETIME: Duration = Duration::from_mins(10);
+/// Maximum number of entries, about 100 bytes each: enough for 80 crashes with 100 requests each.
+const MAX_ENTRIES: usize = 8192;
+/// Maximum number of entries per caller, so that a caller that sends many distinct poison requests
+/// evicts its own entries.
+const MAX_ENTRIES_PER_CALLER: usize = 2048;
+/// How many cleared requests are remembered, so that a reconnecting node does not restore their
+/// quarantine.
+const MAX_CLEARED: usize = 256;
+/// Maximum number of records sent to a node that connects. It receives further ones from other
+/// nodes.
+const MAX_SNAPSHOT: usize = 128;
+
+/// One execution of a request that was in flight when an upstream crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Execution {
     /// The request.
     pub identity: Identity,
-    /// The generation of crashes that was known when it was sent.
+    /// The number of consecutive crashes that was known when the request was sent.
     pub known_crashes: u8,
-    /// It ended well lately where the upstream crashed.
+    /// The same request succeeded recently on the node of the crashed upstream.
     pub succeeded_recently: bool,
 }
 
-/// The end of a life of an upstream.
+/// The crash of one incarnation of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Crash<'a> {
-    /// Names the life; several nodes may tell of the same one.
+    /// Identifies the incarnation; several nodes may report the same crash.
     pub incarnation: &'a str,
-    /// What ran there, as far as the teller knows.
+    /// The requests in flight there, as far as the reporting node knows.
     pub in_flight: &'a [Execution],
-    /// Nothing else ran there.
+    /// No other requests were in flight there.
     pub is_complete: bool,
 }
 
-/// What is held against requests.
+/// The crash evidence against requests, bounded in size.
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: HashMap<Identity, Entry>,
-    of_caller: HashMap<Caller, usize>,
+    caller_counts: HashMap<Caller, usize>,
     cleared: VecDeque<(Identity, Moment)>,
-    familiar: Familiar,
+    recent: Successes,
 }
 
 impl Ledger {
-    /// Returns true if nothing is held against any request.
+    /// Returns true if there is no evidence against any request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of requests with evidence against them, including expired evidence that has
+    /// not been evicted.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns how many requests are in quarantine.
+    /// Returns the number of requests in quarantine.
     #[must_use]
     pub fn quarantined_count(&self, now: Moment) -> usize {
         let all = self.entries.values();
@@ -101,17 +107,17 @@
             .count()
     }
 
-    /// Returns what is held against a request.
+    /// Returns how to handle a request.
     #[must_use]
     pub fn standing(&self, identity: &Identity, now: Moment) -> Standing {
         let entry = self.entries.get(identity);
         entry.map_or(Standing::Clear, |entry| entry.standing(now))
     }
 
-    /// Takes in a crash; returns the requests that are in quarantine by it.
+    /// Records a crash and returns the requests it puts into quarantine.
     pub fn record_crash(&mut self, crash: Crash<'_>, now: Moment) -> Vec<Identity> {
         let incarnation = incarnation_hash(crash.incarnation);
-        let mut verdicts = Vec::new();
+        let mut quarantined = Vec::new();
         let suspects = crash
             .in_flight
             .iter()
@@ -119,7 +125,7 @@
             .count();
         let was_alone = crash.is_complete && crash.in_flight.len() == 1;
         for execution in crash.in_flight {
-            let beside = Beside {
+            let concurrency = Concurrency {
                 was_alone,
                 had_suspects: suspects > usize::from(execution.known_crashes > 0),
             };
@@ -128,51 +134,51 @@
                 execution.succeeded_recently || self.succeeded_recently(&execution.identity, now);
             let entry = self.entries.entry(execution.identity).or_insert_with(|| {
                 *self
-                    .of_caller
+                    .caller_counts
                     .entry(execution.identity.caller())
                     .or_default() += 1;
                 Entry::new(now)
             });
-            entry.remember_success(succeeded_recently);
-            if entry.record_crash(incarnation, execution.known_crashes, beside, now) {
-                verdicts.push(execution.identity);
+            entry.note_recent_success(succeeded_recently);
+            if entry.record_crash(incarnation, execution.known_crashes, concurrency, now) {
+                quarantined.push(execution.identity);
             }
         }
-        verdicts
+        quarantined
     }
 
-    /// Returns true if a request ended well lately, as far as is known here.
+    /// Returns true if a request succeeded recently on this node.
     #[must_use]
     pub fn succeeded_recently(&self, identity: &Identity, now: Moment) -> bool {
-        self.familiar.contains(identity, now)
+        self.recent.contains(identity, now)
     }
 
-    /// Takes in that a request ended well here, without clearing it.
+    /// Records that this node's upstream answered a request, without clearing the request.
     pub fn remember_success(&mut self, identity: &Identity, now: Moment) {
-        self.familiar.note(identity, now);
+        self.recent.insert(identity, now);
     }
 
-    /// Takes in that a request ended well; returns what was held against it.
+    /// Clears a request that succeeded and returns its standing before that.
     pub fn record_success(&mut self, identity: &Identity, now: Moment) -> Standing {
-        self.familiar.note(identity, now);
+        self.recent.insert(identity, now);
         if self.entries.is_empty() {
             return Standing::Clear;
         }
         let before = self.standing(identity, now);
-        self.forget(identity);
+        self.remove(identity);
         before
     }
 
-    /// Clears a request on somebody's word; returns true if something was held against it.
+    /// Clears a request explicitly; returns true if there was evidence against it.
     pub fn clear(&mut self, identity: &Identity, now: Moment) -> bool {
         self.cleared.push_back((*identity, now));
-        if self.cleared.len() > MOST_CLEARED {
+        if self.cleared.len() > MAX_CLEARED {
             self.cleared.pop_front();
         }
-        self.forget(identity)
+        self.remove(identity)
     }
 
-    /// Takes in what another node holds against a request.
+    /// Merges the evidence of another node, unless the request was cleared here after its last crash.
     pub fn merge(&mut self, record: &Record, now: Moment) {
         let crashed = now.before(record.age);
         let is_cleared =
@@ -182,73 +188,78 @@
         }
         self.make_room(record.identity, now);
         let entry = self.entries.entry(record.identity).or_insert_with(|| {
-            *self.of_caller.entry(record.identity.caller()).or_default() += 1;
+            *self
+                .caller_counts
+                .entry(record.identity.caller())
+                .or_default() += 1;
             Entry::new(crashed)
         });
         entry.merge(record, now);
     }
 
-    /// Returns what a node that connects is to know: trials and quarantine, the newest first.
+    /// Returns the newest records on trial or in quarantine, to send to a node that connects.
     #[must_use]
     pub fn snapshot(&self, now: Moment) -> Vec<Record> {
         let mut records = self.records(now);
-        records.truncate(MOST_TOLD);
+        records.truncate(MAX_SNAPSHOT);
         records
     }
 
-    /// Returns all requests that are on trial or in quarantine, the newest first.
+    /// Returns all requests on trial or in quarantine, most recent crash first.
     #[must_use]
     pub fn records(&self, now: Moment) -> Vec<Record> {
-        let graver = self.entries.iter();
-        let graver = graver.filter(|(_, entry)| entry.standing(now).is_restricted());
-        let mut records: Vec<Record> = graver
+        let restricted = self.entries.iter();
+        let restricted = restricted.filter(|(_, entry)| entry.standing(now).is_restricted());
+        let mut records: Vec<Record> = restricted
             .map(|(identity, entry)| entry.record(*identity, now))
             .collect();
         records.sort_by_key(|record| (record.age, record.identity));
         records
     }
 
-    fn forget(&mut self, identity: &Identity) -> bool {
-        // Whoever names it may not know who answers for it.
+    fn remove(&mut self, identity: &Identity) -> bool {
+        // An identity parsed from text has no caller, so use the one of the stored key.
         let Some((known, _)) = self.entries.remove_entry(identity) else {
             return false;
         };
         let caller = known.caller();
-        if let Some(count) = self.of_caller.get_mut(&caller) {
+        if let Some(count) = self.caller_counts.get_mut(&caller) {
             *count -= 1;
             if *count == 0 {
-                self.of_caller.remove(&caller);
+                self.caller_counts.remove(&caller);
             }
         }
         true
     }
 
-    /// Makes room for one more request of the same caller, or of any.
+    /// Evicts an entry if a new one for this request would exceed the limit per caller, or the total
+    /// limit. In the latter case the caller with the most entries loses one.
     fn make_room(&mut self, identity: Identity, now: Moment) {
         if self.entries.contains_key(&identity) {
             return;
         }
         let caller = identity.caller();
-        let of_caller = self.of_caller.get(&caller).copied().unwrap_or_default();
-        if of_caller >= MOST_OF_CALLER {
-            self.forget_least(Some(caller), now);
-        } else if self.entries.len() >= MOST_ENTRIES {
-            let largest = self.of_caller.iter().max_by_key(|(_, count)| **count);
+        let caller_count = self.caller_counts.get(&caller).copied().unwrap_or_default();
+        if caller_count >= MAX_ENTRIES_PER_CALLER {
+            self.evict(Some(caller), now);
+        } else if self.entries.len() >= MAX_ENTRIES {
+            let largest = self.caller_counts.iter().max_by_key(|(_, count)| **count);
             let largest = largest.map(|(caller, _)| *caller);
-            self.forget_least(largest, now);
+            self.evict(largest, now);
         }
     }
 
-    /// Forgets the request that matters least: what is over first, then the oldest suspects.
-    fn forget_least(&mut self, caller: Option<Caller>, now: Moment) {
-        let of_caller = self
+    /// Removes the least important entry, of one caller if given: expired entries first, then suspects
+    /// with the oldest crash.
+    fn evict(&mut self, caller: Option<Caller>, now: Moment) {
+        let candidates = self
             .entries
             .iter()
             .filter(|(identity, _)| caller.is_none_or(|caller| identity.caller() == caller));
-        let least = of_caller.min_by_key(|(_, entry)| entry.weight(now));
+        let least = candidates.min_by_key(|(_, entry)| entry.retention_priority(now));
         let least = least.map(|(identity, _)| *identity);
         if let Some(least) = least {
-            self.forget(&least);
+            self.remove(&least);
         }
     }
 }
--- a/crates/quarantine/src/ledger/entry.rs
+++ b/crates/quarantine/src/ledger/entry.rs
@@ -1,110 +1,113 @@
-//! What is held against one request.
+//! The crash evidence against one request.
 
 use std::time::Duration;
 
 use sailtrack_units::Moment;
 
 use crate::identity::Identity;
-use crate::ledger::{MEMORY, Record};
+use crate::ledger::{Record, SUSPECT_LIFETIME};
 use crate::standing::Standing;
 
-/// From this generation on a request runs on trial only. One request in some hundred that ran
-/// beside a harmful one is there a second time, since what was lost together is repeated together.
-const TRIAL_GENERATION: u8 = 2;
-/// From this generation on it is in quarantine. The last crash was under a trial, where the other
-/// ones that were there twice do not run.
-const QUARANTINE_GENERATION: u8 = 3;
-/// So many upstreams that ended under it put it on trial in the first generation too: callers may
-/// send one request to several upstreams at the same moment.
-const TRIAL_LIVES: usize = 3;
-/// So many upstreams that ended under it suffice with a crash under a trial. Where a request came
-/// in at several places at once and ended all upstreams, their return would be ended three times
-/// more before the generations tell.
-const PROOF_LIVES: usize = 4;
-/// How many more crashes that follow each other it takes if the request ended well lately: many
-/// callers may make it. Killing all upstreams twice, 0.6 s apart, put such a request into
-/// quarantine in one of three runs without this.
-const FAMILIAR_GENERATIONS: u8 = 2;
-/// How long the quarantine of a request lasts, each time a trial fails. Upstreams are mended and
-/// replaced within minutes or hours; three more crashes in seven hours are what it costs to find
-/// out, and one a day after that.
-const TERMS: [Duration; 4] = [
+/// Consecutive crashes from which a request runs on trial. Requests lost together are retried
+/// together, so about one in a hundred that ran beside a poison request is in flight at its next
+/// crash too.
+const TRIAL_CRASHES: u8 = 2;
+/// Consecutive crashes from which a request is quarantined. The last one happened during a trial,
+/// where no other request with two crashes runs.
+const QUARANTINE_CRASHES: u8 = 3;
+/// Crashed upstream incarnations from which a request runs on trial even without consecutive
+/// crashes: callers may send one request to several upstreams at the same moment.
+const TRIAL_INCARNATIONS: usize = 3;
+/// Crashed upstream incarnations from which one crash during a trial is enough for quarantine. If a
+/// request was sent to several places at once and crashed all upstreams, counting consecutive
+/// crashes alone would let it crash them three more times after they return.
+const QUARANTINE_INCARNATIONS: usize = 4;
+/// Additional consecutive crashes required if the request succeeded recently, since many callers may
+/// send it. Without this, killing all upstreams twice, 0.6 s apart, quarantined such a request in
+/// one of three runs.
+const RECENT_SUCCESS_CRASHES: u8 = 2;
+/// The duration of each successive quarantine of a request; the last one repeats. Upstreams are
+/// fixed and replaced within minutes or hours. A trial after each expiry costs three more crashes
+/// in the first seven hours, then one a day.
+const QUARANTINE_DURATIONS: [Duration; 4] = [
     Duration::from_mins(10),
     Duration::from_hours(1),
     Duration::from_hours(6),
     Duration::from_hours(24),
 ];
 
-/// Returns the number by which a life is remembered.
+/// Returns the hash under which an upstream incarnation is stored.
 pub(crate) fn incarnation_hash(incarnation: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(incarnation.as_bytes())
 }
 
-/// What ran beside a request when an upstream ended.
+/// What else was in flight when an upstream crashed.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Beside {
-    /// Nothing did.
+pub(crate) struct Concurrency {
+    /// No other request.
     pub(crate) was_alone: bool,
-    /// Another one did that had been there before when an upstream ended.
+    /// At least one other request that had been in flight at an earlier crash.
     pub(crate) had_suspects: bool,
 }
 
 /// The quarantine of a request.
 #[derive(Debug, Clone, Copy)]
-struct Sentence {
+struct Quarantine {
     until: Moment,
-    /// How many trials failed, the one that led here included.
-    quarantine_count: u8,
+    /// The number of quarantines so far, this one included.
+    count: u8,
 }
 
-/// What is held against one request.
+/// The crash evidence against one request.
 #[derive(Debug, Clone)]
 pub(crate) struct Entry {
     consecutive_crashes: u8,
-    /// The lives that ended under it, as many as matter.
-    incarnations: [u64; TRIAL_LIVES],
-    incarnations_known: usize,
-    /// It was on trial at some time, or nothing ran beside it when an upstream ended.
+    /// Hashes of the last upstream incarnations that crashed while running it.
+    incarnations: [u64; TRIAL_INCARNATIONS],
+    /// The number of distinct incarnations, counted up to twice the length of `incarnations`.
+    incarnation_count: usize,
+    /// It runs on trial rather than as a mere suspect: after two consecutive crashes, a crash with no
+    /// other request in flight, or crashes of several upstreams.
     on_trial: bool,
-    /// It ended well lately before an upstream ended under it.
+    /// It succeeded shortly before an upstream crashed while running it.
     succeeded_recently: bool,
     last_crash: Moment,
-    sentence: Option<Sentence>,
+    quarantine: Option<Quarantine>,
 }
 
 impl Entry {
     pub(crate) fn new(crashed: Moment) -> Self {
         Self {
             consecutive_crashes: 0,
-            incarnations: [0; TRIAL_LIVES],
-            incarnations_known: 0,
+            incarnations: [0; TRIAL_INCARNATIONS],
+            incarnation_count: 0,
             on_trial: false,
             succeeded_recently: false,
             last_crash: crashed,
-            sentence: None,
+            quarantine: None,
         }
     }
 
-    /// Returns what is held against the request.
+    /// Returns how to handle the request.
     pub(crate) fn standing(&self, now: Moment) -> Standing {
         let known_crashes = self.consecutive_crashes;
-        match self.sentence {
-            Some(sentence) if sentence.until > now => Standing::Quarantined {
-                remaining: sentence.until.since(now),
+        match self.quarantine {
+            Some(quarantine) if quarantine.until > now => Standing::Quarantined {
+                remaining: quarantine.until.since(now),
             },
             Some(_) => Standing::OnTrial { known_crashes },
-            None if now.since(self.last_crash) > MEMORY => Standing::Clear,
+            None if now.since(self.last_crash) > SUSPECT_LIFETIME => Standing::Clear,
             None if self.on_trial => Standing::OnTrial { known_crashes },
             None => Standing::Suspected { known_crashes },
         }
     }
 
-    /// Takes in a crash; returns true if the request is in quarantine by it.
+    /// Records a crash; returns true if it puts the request into quarantine.
     pub(crate) fn record_crash(
         &mut self,
         incarnation: u64,
         known_crashes: u8,
-        beside: Beside,
+        concurrency: Concurrency,
         now: Moment,
     ) -> bool {
         if self.standing(now) == Standing::Clear {
@@ -114,63 +117,66 @@
             };
         }
         let is_new = self.note_incarnation(incarnation);
-        let consecutive_crashes = known_crashes.saturating_add(1);
+        let crashes = known_crashes.saturating_add(1);
         let was_in_quarantine = self.standing(now).is_quarantined();
-        let is_further = consecutive_crashes > self.consecutive_crashes;
-        self.consecutive_crashes = self.consecutive_crashes.max(consecutive_crashes);
+        let is_consecutive = crashes > self.consecutive_crashes;
+        self.consecutive_crashes = self.consecutive_crashes.max(crashes);
         self.last_crash = now;
-        self.on_trial |= beside.was_alone
-            || self.consecutive_crashes >= TRIAL_GENERATION
-            || self.incarnations_known >= TRIAL_LIVES;
-        if was_in_quarantine || !(is_further || is_new) {
+        self.on_trial |= concurrency.was_alone
+            || self.consecutive_crashes >= TRIAL_CRASHES
+            || self.incarnation_count >= TRIAL_INCARNATIONS;
+        if was_in_quarantine || !(is_consecutive || is_new) {
             return false;
         }
-        if !self.is_proved(beside) {
+        if !self.has_enough_evidence(concurrency) {
             return false;
         }
-        self.sentence_again(now);
+        self.quarantine(now);
         true
     }
 
-    /// Notes whether it ended well lately.
-    pub(crate) fn remember_success(&mut self, succeeded_recently: bool) {
+    /// Notes whether it succeeded recently.
+    pub(crate) fn note_recent_success(&mut self, succeeded_recently: bool) {
         self.succeeded_recently |= succeeded_recently;
     }
 
-    /// Returns true if what is known suffices for quarantine.
-    fn is_proved(&self, beside: Beside) -> bool {
+    /// Returns true if the evidence suffices for quarantine.
+    fn has_enough_evidence(&self, concurrency: Concurrency) -> bool {
         let extra = if self.succeeded_recently {
-            FAMILIAR_GENERATIONS
+            RECENT_SUCCESS_CRASHES
         } else {
             0
         };
-        let needed = QUARANTINE_GENERATION + u8::from(beside.had_suspects) + extra;
-        let ended_many = self.incarnations_known >= PROOF_LIVES && !self.succeeded_recently;
+        let needed = QUARANTINE_CRASHES + u8::from(concurrency.had_suspects) + extra;
+        let crashed_many =
+            self.incarnation_count >= QUARANTINE_INCARNATIONS && !self.succeeded_recently;
         self.consecutive_crashes >= needed
-            || (self.consecutive_crashes >= TRIAL_GENERATION && ended_many)
+            || (self.consecutive_crashes >= TRIAL_CRASHES && crashed_many)
     }
 
+    /// Adds a crashed incarnation; returns false if it is already known.
     fn note_incarnation(&mut self, incarnation: u64) -> bool {
-        if self.incarnations[..self.incarnations_known.min(TRIAL_LIVES)].contains(&incarnation) {
+        if self.incarnations[..self.incarnation_count.min(TRIAL_INCARNATIONS)]
+            .contains(&incarnation)
+        {
             return false;
         }
-        self.incarnations[self.incarnations_known % TRIAL_LIVES] = incarnation;
-        self.incarnations_known = (self.incarnations_known + 1).min(2 * TRIAL_LIVES);
+        self.incarnations[self.incarnation_count % TRIAL_INCARNATIONS] = incarnation;
+        self.incarnation_count = (self.incarnation_count + 1).min(2 * TRIAL_INCARNATIONS);
         true
     }
 
-    fn sentence_again(&mut self, now: Moment) {
-        let quarantine_count = self
-            .sentence
-            .map_or(0, |sentence| sentence.quarantine_count);
-        let term = TERMS[usize::from(quarantine_count).min(TERMS.len() - 1)];
-        self.sentence = Some(Sentence {
-            until: now + term,
-            quarantine_count: quarantine_count.saturating_add(1),
+    /// Starts the next quarantine, longer than the one before.
+    fn quarantine(&mut self, now: Moment) {
+        let count = self.quarantine.map_or(0, |quarantine| quarantine.count);
+        let duration = QUARANTINE_DURATIONS[usize::from(count).min(QUARANTINE_DURATIONS.len() - 1)];
+        self.quarantine = Some(Quarantine {
+            until: now + duration,
+            count: count.saturating_add(1),
         });
     }
 
-    /// Takes in what another node holds against it, if that is more.
+    /// Merges the evidence of another node, keeping the stronger of each.
     pub(crate) fn merge(&mut self, record: &Record, now: Moment) {
         self.consecutive_crashes = self.consecutive_crashes.max(record.consecutive_crashes);
         self.last_crash = self.last_crash.max(now.before(record.age));
@@ -179,46 +185,46 @@
         if record.quarantine_count == 0 {
             return;
         }
-        let told = Sentence {
+        let reported = Quarantine {
             until: now + record.remaining,
-            quarantine_count: record.quarantine_count,
+            count: record.quarantine_count,
         };
-        let own = self.sentence.map_or((0, Moment::default()), Sentence::rank);
-        if told.rank() > own {
-            self.sentence = Some(told);
+        let own = self
+            .quarantine
+            .map_or((0, Moment::default()), Quarantine::rank);
+        if reported.rank() > own {
+            self.quarantine = Some(reported);
         }
     }
 
-    /// Returns what other nodes are told about it.
+    /// Returns the record to send to other nodes.
     pub(crate) fn record(&self, identity: Identity, now: Moment) -> Record {
         Record {
             identity,
             consecutive_crashes: self.consecutive_crashes,
             age: now.since(self.last_crash),
             remaining: self
-                .sentence
-                .map_or(Duration::ZERO, |sentence| sentence.until.since(now)),
-            quarantine_count: self
-                .sentence
-                .map_or(0, |sentence| sentence.quarantine_count),
+                .quarantine
+                .map_or(Duration::ZERO, |quarantine| quarantine.until.since(now)),
+            quarantine_count: self.quarantine.map_or(0, |quarantine| quarantine.count),
             succeeded_recently: self.succeeded_recently,
         }
     }
 
-    /// Returns how much it matters that it is remembered.
-    pub(crate) fn weight(&self, now: Moment) -> (u8, Moment) {
-        let grade = match self.standing(now) {
+    /// Returns the key by which entries are evicted, lowest first.
+    pub(crate) fn retention_priority(&self, now: Moment) -> (u8, Moment) {
+        let rank = match self.standing(now) {
             Standing::Clear => 0,
             Standing::Suspected { .. } => 1,
             Standing::OnTrial { .. } => 2,
             Standing::Quarantined { .. } => 3,
         };
-        (grade, self.last_crash)
+        (rank, self.last_crash)
     }
 }
 
-impl Sentence {
+impl Quarantine {
     fn rank(self) -> (u8, Moment) {
-        (self.quarantine_count, self.until)
+        (self.count, self.until)
     }
 }
--- a/crates/quarantine/src/ledger/record.rs
+++ b/crates/quarantine/src/ledger/record.rs
@@ -1,22 +1,23 @@
-//! What one node tells another about a request.
+//! The exchange format for crash evidence between nodes.
 
 use std::time::Duration;
 
 use crate::identity::Identity;
 
-/// What one node holds against a request, in times that need no common clock.
+/// A request on trial or in quarantine, as one node reports it to another. Times are relative, so
+/// the nodes need no common clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Record {
     /// The request.
     pub identity: Identity,
-    /// How many crashes followed each other under it.
+    /// The number of consecutive crashes it was in flight at.
     pub consecutive_crashes: u8,
-    /// How long ago the last crash was.
+    /// The time since the last crash.
     pub age: Duration,
-    /// How much of its quarantine is left, if it is in any.
+    /// The remaining quarantine, zero if there is none.
     pub remaining: Duration,
     /// How often it was put into quarantine.
     pub quarantine_count: u8,
-    /// It ended well lately before an upstream ended under it.
+    /// It succeeded shortly before an upstream crashed while running it.
     pub succeeded_recently: bool,
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,11 +1,11 @@
-//! Requests that end the upstreams that run them: how one is known again, what is held against it,
-//! and what follows from that.
+//! Detection and quarantine of requests that crash the upstreams that run them.
 //!
-//! Nothing here knows of networks or reads a clock.
+//! Computes request identities, records which requests were in flight at each crash, and derives
+//! from that how a request is handled. Does no I/O and reads no clock.
 
-mod familiar;
 mod identity;
 mod ledger;
+mod recent;
 mod standing;
 
 pub use identity::{Caller, Hasher, IDENTITY_BYTES, Identity, IdentityError};
--- a/crates/quarantine/src/standing.rs
+++ b/crates/quarantine/src/standing.rs
@@ -1,32 +1,33 @@
-//! What follows for a request from what is held against it.
+//! How nodes handle a request, given the crashes recorded against it.
 
 use std::time::Duration;
 
-/// What follows for a request from what is held against it.
+/// How nodes handle a request, given the crashes recorded against it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing.
+    /// No restriction.
     Clear,
-    /// It goes to the upstream that all nodes prefer for it, so that those that were lost together
-    /// are not repeated together.
+    /// Routed to the upstream that all nodes prefer for this request, so that requests lost in the
+    /// same crash are not retried together.
     Suspected {
-        /// How many crashes followed each other under it.
+        /// How many consecutive crashes are known.
         known_crashes: u8,
     },
-    /// Besides, it runs there one at a time, beside no other request on trial.
+    /// Routed like a suspect. It also runs one at a time, and never beside another request on
+    /// trial.
     OnTrial {
-        /// How many crashes followed each other under it.
+        /// How many consecutive crashes are known.
         known_crashes: u8,
     },
-    /// It is sent to no upstream.
+    /// Rejected without being sent to any upstream.
     Quarantined {
-        /// How long that lasts.
+        /// How long the quarantine still lasts.
         remaining: Duration,
     },
 }
 
 impl Standing {
-    /// Returns the generation of crashes that is known.
+    /// Returns the number of consecutive crashes to send along with the request.
     #[must_use]
     pub fn known_crashes(self) -> u8 {
         match self {
@@ -35,19 +36,19 @@
         }
     }
 
-    /// Returns true if it is sent to no upstream.
+    /// Returns true if the request must not be sent to any upstream.
     #[must_use]
     pub fn is_quarantined(self) -> bool {
         matches!(self, Self::Quarantined { .. })
     }
 
-    /// Returns true if it runs on trial only.
+    /// Returns true if the request may only run as a trial.
     #[must_use]
     pub fn is_on_trial(self) -> bool {
         matches!(self, Self::OnTrial { .. })
     }
 
-    /// Returns true if all nodes have to know of it.
+    /// Returns true for requests on trial or in quarantine, which all nodes have to know of.
     #[must_use]
     pub fn is_restricted(self) -> bool {
         self.is_on_trial() || self.is_quarantined()
--- a/crates/quarantine/tests/verdicts.rs
+++ b/crates/quarantine/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! What is held against a request, and for how long.
+//! When requests become suspects, run on trial, are quarantined and cleared.
 
 use std::time::Duration;
 
@@ -43,19 +43,19 @@
     ledger.record_crash(crash, now)
 }
 
-/// Three crashes that followed each other, with others beside.
-fn convicted() -> Ledger {
+/// Returns a ledger after three consecutive crashes with one request in common, which quarantine it.
+fn after_three_crashes() -> Ledger {
     let mut ledger = Ledger::default();
     crash(&mut ledger, "a", &[ran("bad", 0), ran("one", 0)], START);
     crash(&mut ledger, "b", &[ran("bad", 1), ran("two", 0)], START);
-    let verdicts = crash(&mut ledger, "c", &[ran("bad", 2), ran("three", 0)], START);
-    assert_eq!(verdicts, [identity("bad")]);
+    let quarantined = crash(&mut ledger, "c", &[ran("bad", 2), ran("three", 0)], START);
+    assert_eq!(quarantined, [identity("bad")]);
     ledger
 }
 
 #[test]
 fn three_in_a_row() {
-    let ledger = convicted();
+    let ledger = after_three_crashes();
     let standing = ledger.standing(&identity("bad"), START);
     assert_eq!(standing, Standing::Quarantined { remaining: TERM });
     for name in ["one", "two", "three"] {
@@ -66,19 +66,19 @@
     assert_eq!(ledger.standing(&identity("other"), START), Standing::Clear);
 }
 
-/// A failure domain loses all its upstreams at once: nobody knew of one end when sending to the
-/// next, so it is one crash to what ran in all of them.
+/// A failure domain loses all its upstreams at once. The requests were sent without knowledge of the
+/// other crashes, so it counts as one crash for a request that ran on all of them.
 #[test]
 fn all_at_once() {
     let mut ledger = Ledger::default();
     for incarnation in ["a", "b", "c", "d", "e"] {
-        let verdicts = crash(
+        let quarantined = crash(
             &mut ledger,
             incarnation,
             &[ran("popular", 0), ran(incarnation, 0)],
             START,
         );
-        assert!(verdicts.is_empty());
+        assert!(quarantined.is_empty());
     }
     let standing = ledger.standing(&identity("popular"), START);
     assert_eq!(
@@ -86,15 +86,15 @@
         Standing::OnTrial { known_crashes: 1 },
         "one at a time"
     );
-    let verdicts = crash(&mut ledger, "f", &[ran("popular", 1), ran("e", 1)], START);
+    let quarantined = crash(&mut ledger, "f", &[ran("popular", 1), ran("e", 1)], START);
     assert_eq!(
-        verdicts,
+        quarantined,
         [identity("popular")],
-        "its trial ended one as well"
+        "a crash during its trial"
     );
 }
 
-/// Several nodes tell of the same life.
+/// Several nodes report the crash of the same upstream incarnation.
 #[test]
 fn told_twice() {
     let mut ledger = Ledger::default();
@@ -113,8 +113,8 @@
     assert_eq!(standing, Standing::OnTrial { known_crashes: 1 });
 }
 
-/// A crash under a trial beside another suspect tells which of them it was only if it is seen
-/// again.
+/// If another suspect was in flight during the trial, it takes one more crash to tell which of them
+/// caused it.
 #[test]
 fn beside_a_suspect() {
     let mut ledger = Ledger::default();
@@ -123,8 +123,8 @@
     let third = [ran("bad", 2), ran("two", 1)];
     assert!(crash(&mut ledger, "c", &third, START).is_empty());
     let fourth = [ran("bad", 3), ran("two", 2)];
-    let verdicts = crash(&mut ledger, "d", &fourth, START);
-    assert_eq!(verdicts, [identity("bad")]);
+    let quarantined = crash(&mut ledger, "d", &fourth, START);
+    assert_eq!(quarantined, [identity("bad")]);
 }
 
 #[test]
@@ -136,15 +136,15 @@
     assert_eq!(before, Standing::OnTrial { known_crashes: 2 });
     let standing = ledger.standing(&identity("one"), START);
     assert_eq!(standing, Standing::Clear);
-    let verdicts = crash(&mut ledger, "c", &[ran("one", 0)], START);
-    assert!(verdicts.is_empty(), "it begins anew");
+    let quarantined = crash(&mut ledger, "c", &[ran("one", 0)], START);
+    assert!(quarantined.is_empty(), "the count starts again");
 }
 
-/// Each term ends with a trial; one that fails makes the next term longer, one that ends well
-/// ends it.
+/// Each quarantine expires into a trial. A crash leads to a longer quarantine, a success clears the
+/// request.
 #[test]
 fn terms() {
-    let mut ledger = convicted();
+    let mut ledger = after_three_crashes();
     let mut now = START;
     let bad = identity("bad");
     let hours = Duration::from_hours;
@@ -169,7 +169,7 @@
     assert_eq!(ledger.standing(&bad, now), Standing::Clear);
 }
 
-/// Without a verdict it is forgotten after ten minutes.
+/// Suspicion expires after ten minutes if the request is not quarantined.
 #[test]
 fn suspicion_fades() {
     let mut ledger = Ledger::default();
@@ -183,51 +183,52 @@
     assert_eq!(standing, Standing::Suspected { known_crashes: 1 });
 }
 
-/// A node that connects is told of trials and verdicts, and holds the same.
+/// A node that connects receives requests on trial and in quarantine, and handles them alike.
 #[test]
 fn told_to_another() {
-    let first = convicted();
+    let first = after_three_crashes();
     let mut second = Ledger::default();
-    let passed = Duration::from_mins(1);
-    for record in first.snapshot(START + passed) {
+    let elapsed = Duration::from_mins(1);
+    for record in first.snapshot(START + elapsed) {
         second.merge(&record, at(5));
     }
-    let remaining = TERM.saturating_sub(passed);
+    let remaining = TERM.saturating_sub(elapsed);
     let standing = second.standing(&identity("bad"), at(5));
     assert_eq!(
         standing,
         Standing::Quarantined { remaining },
-        "by its own clock"
+        "relative to its own clock"
     );
-    assert_eq!(second.len(), 1, "suspects are not told");
+    assert_eq!(second.len(), 1, "suspects are not sent");
 }
 
-/// What an operator cleared does not come back with a node that has not heard of it.
+/// A request cleared by an operator is not restored by a node that missed the clearing.
 #[test]
 fn cleared_for_good() {
-    let mut ledger = convicted();
+    let mut ledger = after_three_crashes();
     let bad = identity("bad");
     let old: Vec<Record> = ledger.snapshot(START);
     let later = START + Duration::from_secs(30);
-    let by_text: Identity = bad.to_string().parse().expect("its text");
+    let by_text: Identity = bad.to_string().parse().expect("valid text");
     assert!(ledger.clear(&by_text, later));
     assert_eq!(ledger.standing(&bad, later), Standing::Clear);
     for record in old {
-        let passed = Duration::from_mins(1);
+        let elapsed = Duration::from_mins(1);
         let record = Record {
-            age: record.age + passed,
+            age: record.age + elapsed,
             ..record
         };
-        ledger.merge(&record, START + passed);
+        ledger.merge(&record, START + elapsed);
     }
     assert_eq!(ledger.standing(&bad, later), Standing::Clear);
-    assert!(!ledger.clear(&bad, later), "nothing is left of it");
+    assert!(!ledger.clear(&bad, later), "already removed");
 }
 
-/// One caller that makes up harmful requests pushes out its own suspects, nobody else's verdict.
+/// A caller that sends many distinct poison requests evicts its own entries, and no other caller's
+/// quarantined request.
 #[test]
 fn bounded_for_each_caller() {
-    let mut ledger = convicted();
+    let mut ledger = after_three_crashes();
     for number in 0..4000 {
         let identity = of_caller(&format!("made up {number}"), "maker");
         let made = [
@@ -260,27 +261,27 @@
     assert!(ledger.standing(&identity("bad"), START).is_quarantined());
 }
 
-/// What ended well lately needs two more crashes: many callers may make it.
+/// A request that succeeded recently needs two more crashes, since many callers may send it.
 #[test]
 fn familiar() {
     let mut ledger = Ledger::default();
     let popular = identity("popular");
     ledger.record_success(&popular, START);
     for (number, incarnation) in ["a", "b", "c", "d"].into_iter().enumerate() {
-        let known_crashes = u8::try_from(number).expect("it is small");
-        let verdicts = crash(
+        let known_crashes = u8::try_from(number).expect("small");
+        let quarantined = crash(
             &mut ledger,
             incarnation,
             &[ran("popular", known_crashes)],
             START,
         );
-        assert!(verdicts.is_empty(), "{incarnation}");
+        assert!(quarantined.is_empty(), "{incarnation}");
     }
-    let verdicts = crash(&mut ledger, "e", &[ran("popular", 4)], START);
-    assert_eq!(verdicts, [popular]);
+    let quarantined = crash(&mut ledger, "e", &[ran("popular", 4)], START);
+    assert_eq!(quarantined, [popular]);
 }
 
-/// A request that has not come for a minute is as good as new.
+/// A success counts for one minute only.
 #[test]
 fn no_more_familiar() {
     let mut ledger = Ledger::default();
@@ -288,7 +289,7 @@
     ledger.record_success(&once, START);
     let later = START + Duration::from_mins(2);
     for (number, incarnation) in ["a", "b", "c"].into_iter().enumerate() {
-        let known_crashes = u8::try_from(number).expect("it is small");
+        let known_crashes = u8::try_from(number).expect("small");
         crash(
             &mut ledger,
             incarnation,
