--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,16 +1,16 @@
-//! Limits of workspaces, kept by all nodes together without a coordinator.
+//! Rate limits of workspaces, enforced by all nodes together without a coordinator.
 //!
-//! What a workspace may ask is a bucket of tokens. Each failure domain has a
-//! part of it ([`Parts`]), looked after by one node there, the allocator
-//! ([`Allocator`]), from which the other nodes of the domain fetch tokens as
-//! they need them ([`Cache`]). A token is in one place at a time: in the
-//! allocator's pool, in the cache of one node, or used. The allocator counts what
-//! it has handed out as still there until it hears that it is not, and what
-//! is in a cache becomes void before the allocator stops counting it. So the sum
-//! holds whoever is cut off, lost or restarted, and nobody has to be asked
-//! but a node nearby.
+//! Each workspace has a token bucket. Every failure domain has a share of it
+//! ([`Shares`]), managed by one node there, the allocator ([`Allocator`]). The
+//! other nodes of the domain fetch tokens from it as needed ([`Cache`]). A token
+//! is in one place at a time: in the allocator's pool, in the cache of one node,
+//! or used. The allocator counts the tokens it has granted as outstanding until
+//! it learns that they are used, and tokens in a cache expire before the
+//! allocator stops counting them. So the total stays within the limit through
+//! partitions, node losses and restarts, and a decision never needs more than a
+//! node in the same domain.
 //!
-//! Nothing here knows a network or reads a clock.
+//! Does no I/O and reads no clock.
 
 mod allocator;
 mod cache;
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -1,59 +1,60 @@
-//! How much a workspace may ask.
+//! The rate limit of a workspace, and the token bucket that enforces it.
 
 use std::time::Duration;
 
-/// The part of what may run beyond a limit that is used on purpose, as room for tokens, and the
-/// part that a new allocator uses while nodes may hold tokens of the one before that it has not heard
-/// of. Together they leave a twentieth for the clocks. With less for a new allocator, requests are
-/// refused below their limits after each change of allocators.
-const ROOM_SHARE: f64 = 0.55;
-const YOUNG_ROOM_SHARE: f64 = 0.4;
+/// The fraction of the permitted excess over a limit that is used as bucket capacity, and the
+/// fraction that a new allocator uses while nodes may hold tokens of its predecessor that it does
+/// not know of. The remaining 5 % allow for clock errors. With a smaller fraction for new
+/// allocators, requests within the limits were rejected after each change of allocators.
+const CAPACITY_FRACTION: f64 = 0.55;
+const STARTUP_CAPACITY_FRACTION: f64 = 0.4;
 
-/// How much a workspace may ask of all nodes together.
+/// The rate limit of a workspace over all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests on top of that.
+    /// Additional requests per window.
     pub burst: f64,
 }
 
-/// How far the sum over all nodes may go beyond a limit.
+/// By how much all nodes together may exceed a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tolerance {
-    /// In any window of this length
+    /// The length of the sliding window in which requests are counted.
     pub window: Duration,
-    /// this share of what the limit allows in it may run beside it,
+    /// The permitted excess per window, as a fraction of what the limit allows in it.
     pub overage: f64,
-    /// and this many requests more.
+    /// The permitted excess per window in addition to that, in requests.
     pub slack: f64,
 }
 
 impl Limit {
-    /// Returns how many tokens come a second: the mean that the limit allows over a window, its
-    /// burst included.
+    /// Returns the refill rate of the bucket in tokens per second: the mean rate that the limit
+    /// allows over a window, including the burst.
     ///
-    /// With the rate alone, and room for the burst besides, a workspace that asks steadily for a
-    /// little more than its rate is refused what its limit allows in each window.
+    /// If tokens came at the plain rate, with the burst as additional capacity, a workspace that
+    /// steadily sends a little more than its rate would be denied the burst that its limit allows
+    /// in each window.
     #[must_use]
     pub fn refill_rate(&self, tolerance: &Tolerance) -> f64 {
         self.rate + self.burst / tolerance.window.as_secs_f64()
     }
 
-    /// Returns the most tokens that may be there at once, in all places together.
+    /// Returns the capacity of the bucket: the maximum number of tokens in all pools and caches.
     #[must_use]
     pub fn capacity(&self, tolerance: &Tolerance) -> f64 {
-        ROOM_SHARE * self.surplus(tolerance)
+        CAPACITY_FRACTION * self.permitted_excess(tolerance)
     }
 
-    /// Returns the same for those of new allocators.
+    /// Returns the capacity that allocators use just after they have started.
     #[must_use]
     pub fn startup_capacity(&self, tolerance: &Tolerance) -> f64 {
-        YOUNG_ROOM_SHARE * self.surplus(tolerance)
+        STARTUP_CAPACITY_FRACTION * self.permitted_excess(tolerance)
     }
 
-    /// Returns how many requests may run in a window beside those that the limit allows.
-    fn surplus(&self, tolerance: &Tolerance) -> f64 {
+    /// Returns the permitted excess over the limit in a window, in requests.
+    fn permitted_excess(&self, tolerance: &Tolerance) -> f64 {
         let allowed = self.refill_rate(tolerance) * tolerance.window.as_secs_f64();
         tolerance.overage * allowed + tolerance.slack
     }
