--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -1,117 +1,120 @@
-//! The tokens of one failure domain, kept by one node.
+//! The token pools of one failure domain, managed by one node.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use sailtrack_units::{Moment, NodeName, WorkspaceName};
 
-use crate::cache::HOLD;
+use crate::cache::TOKEN_LIFETIME;
 use crate::limit::{Limit, Tolerance};
 use crate::meter::Meter;
 
-/// How long tokens of a node are counted after it was last heard of: longer than it holds them,
-/// which it counts from an earlier moment, and by the slower of two clocks.
-const COUNTED: Duration = HOLD.saturating_add(Duration::from_millis(500));
-/// For how long a new allocator keeps less: nodes may still hold tokens of the allocator
-/// before it that it has not heard of.
-const YOUNG: Duration = COUNTED;
-/// Tokens that are not needed at once are handed out from above this share of the room only,
-/// so that the first node that asks does not take those that others need.
-const SPARE_FROM: f64 = 0.3;
-/// Over how long demand is averaged: a workspace with four requests a second in a domain is seen
-/// some thirty times in it, so that its part does not follow chance.
-const DEMAND_SPAN: Duration = Duration::from_secs(8);
-/// The shortest and the longest time after which tokens are asked for again.
-const SHORTEST_WAIT: Duration = Duration::from_millis(20);
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// How long the tokens of a silent node are counted as outstanding. This exceeds the lifetime of
+/// tokens, which the node measures from an earlier moment and possibly with a slower clock.
+const HOLDER_TIMEOUT: Duration = TOKEN_LIFETIME.saturating_add(Duration::from_millis(500));
+/// How long a new allocator uses a smaller capacity: nodes may still hold tokens of its predecessor
+/// that it does not know of.
+const STARTUP_TIME: Duration = HOLDER_TIMEOUT;
+/// The fraction of the capacity that is reserved for requests that are already waiting. Nodes that
+/// prefetch get tokens above it only, so that the first one does not take what others need.
+const PREFETCH_RESERVE: f64 = 0.3;
+/// The time constant over which demand is averaged. A workspace with four requests per second in a
+/// domain has about thirty in it, so its share does not follow random fluctuations.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(8);
+/// Bounds of the time after which a node asks again for tokens.
+const MIN_WAIT: Duration = Duration::from_millis(20);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// What a node says and asks about the tokens of one workspace.
+/// A node's request for tokens of one workspace, with a report of its state.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Want {
-    /// The tokens that it has,
+    /// Tokens that the node holds.
     pub held: u32,
-    /// how many more are needed at once,
+    /// Additional tokens needed by requests that are waiting.
     pub needed: u32,
-    /// and how many more would save it from asking again soon.
+    /// Additional tokens to prefetch for expected requests.
     pub spare: u32,
-    /// The requests that it has seen since its last question, let in or not.
+    /// Requests that arrived since the last report, whether admitted or not.
     pub seen: u32,
 }
 
-/// What a node gets.
+/// The answer to a request for tokens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Grant {
-    /// The tokens that it gets.
+    /// Tokens that the node receives.
     pub tokens: u32,
-    /// So many of those that it had are void: with all others they are more than there is room for.
+    /// Tokens that the node has to discard, since all nodes together hold more than the capacity.
     pub recalled: u32,
-    /// If that is less than needed, the time after which there are more.
+    /// The time after which to ask again, if fewer tokens were granted than needed.
     pub wait: Duration,
 }
 
-/// Who holds tokens: one life of a node. What an earlier life held counts until it lapses.
+/// One incarnation of a node that holds tokens. Those of an earlier incarnation count as outstanding
+/// until they expire.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Holder {
-    /// The node,
+    /// The name of the node.
     pub node: NodeName,
-    /// and its life.
+    /// The incarnation of the node.
     pub incarnation: u64,
 }
 
-/// What a node holds, as far as the allocator knows.
+/// The tokens of one holder, as far as the allocator knows.
 #[derive(Debug, Clone, Copy, Default)]
 struct Account {
-    /// The number of its last question; one that comes late is older.
-    question: u64,
+    /// The sequence number of the last token request. Requests with the same or a lower number are
+    /// duplicates or were delayed.
+    sequence: u64,
     held: u32,
-    /// How many of these its last answer voids; they count until it says that it got the answer.
+    /// How many of these the last grant recalled. They stay outstanding until the next token
+    /// request confirms that the grant arrived.
     recalled: u32,
-    heard: Moment,
+    last_heard: Moment,
 }
 
-/// The tokens of one workspace.
+/// The tokens of one workspace in this failure domain.
 #[derive(Debug)]
 struct Pool {
     limit: Limit,
     share: f64,
     tokens: f64,
-    at: Moment,
+    updated: Moment,
     demand: Meter,
     accounts: HashMap<Holder, Account>,
 }
 
-/// The tokens of one failure domain.
+/// Grants the tokens of one failure domain to its nodes.
 #[derive(Debug)]
 pub struct Allocator {
     tolerance: Tolerance,
-    began: Moment,
+    started: Moment,
     pools: HashMap<WorkspaceName, Pool>,
 }
 
 impl Allocator {
-    /// Begins with no tokens at all: what was there before may still be in use.
+    /// Creates an allocator without tokens, since those of its predecessor may still be in use.
     #[must_use]
     pub fn new(tolerance: Tolerance, now: Moment) -> Self {
         Self {
             tolerance,
-            began: now,
+            started: now,
             pools: HashMap::new(),
         }
     }
 
-    /// Puts another tolerance into force.
+    /// Changes the tolerance.
     pub fn set_tolerance(&mut self, tolerance: Tolerance, now: Moment) {
-        // Until now the earlier one held.
+        // Refill under the old tolerance up to now.
         for pool in self.pools.values_mut() {
-            pool.fill(&self.tolerance, self.began, now);
+            pool.refill(&self.tolerance, self.started, now);
         }
         self.tolerance = tolerance;
         for pool in self.pools.values_mut() {
-            pool.fill(&self.tolerance, self.began, now);
+            pool.refill(&self.tolerance, self.started, now);
         }
     }
 
-    /// Takes the limits of all workspaces in force; one that is not named has none.
+    /// Replaces the limits of all workspaces. A workspace that is not listed has no limit.
     pub fn set_limits(&mut self, limits: &HashMap<WorkspaceName, Limit>, now: Moment) {
         self.pools.retain(|name, _| limits.contains_key(name));
         for (name, limit) in limits {
@@ -119,59 +122,59 @@
                 limit: *limit,
                 share: 0.0,
                 tokens: 0.0,
-                at: now,
-                demand: Meter::over(DEMAND_SPAN),
+                updated: now,
+                demand: Meter::new(DEMAND_TIME_CONSTANT),
                 accounts: HashMap::new(),
             });
-            // Until now the earlier limit held.
-            pool.fill(&self.tolerance, self.began, now);
+            // Refill at the old limit up to now.
+            pool.refill(&self.tolerance, self.started, now);
             pool.limit = *limit;
-            pool.fill(&self.tolerance, self.began, now);
+            pool.refill(&self.tolerance, self.started, now);
         }
     }
 
-    /// Sets the part of a workspace's limit that this domain has, from 0 to 1.
+    /// Sets this domain's share of a workspace's limit, from 0 to 1.
     pub fn set_share(&mut self, workspace: &WorkspaceName, share: f64, now: Moment) {
         if let Some(pool) = self.pools.get_mut(workspace) {
-            pool.fill(&self.tolerance, self.began, now);
+            pool.refill(&self.tolerance, self.started, now);
             pool.share = share;
-            pool.fill(&self.tolerance, self.began, now);
+            pool.refill(&self.tolerance, self.started, now);
         }
     }
 
-    /// Takes in what a node says and gives it tokens; nothing for a workspace without a limit.
+    /// Grants tokens to a node; returns `None` for a workspace without a limit.
     ///
-    /// The questions of a life are numbered from 1 on, and each is asked once all earlier ones are
-    /// answered or given up.
+    /// The token requests of one holder are numbered from 1, and it sends each only after the earlier
+    /// ones are answered or abandoned.
     pub fn allocate(
         &mut self,
-        (holder, question): (&Holder, u64),
+        (holder, sequence): (&Holder, u64),
         workspace: &WorkspaceName,
         want: Want,
         now: Moment,
     ) -> Option<Grant> {
         let pool = self.pools.get_mut(workspace)?;
         let account = pool.accounts.entry(holder.clone()).or_default();
-        if question <= account.question {
+        if sequence <= account.sequence {
             return Some(Grant {
                 tokens: 0,
-                // The answer to the same question may be the only one that arrives.
+                // This may be the only answer to that request that arrives.
                 recalled: account.recalled,
-                wait: SHORTEST_WAIT,
+                wait: MIN_WAIT,
             });
         }
         *account = Account {
-            question,
+            sequence,
             held: want.held,
             recalled: 0,
-            heard: now,
+            last_heard: now,
         };
-        pool.demand.note(want.seen, now);
-        pool.fill(&self.tolerance, self.began, now);
-        let room = pool.room(&self.tolerance, self.began, now);
-        let needed = whole(pool.tokens).min(want.needed);
-        let left = pool.tokens - f64::from(needed) - room * SPARE_FROM;
-        let tokens = needed + whole(left).min(want.spare);
+        pool.demand.record(want.seen, now);
+        pool.refill(&self.tolerance, self.started, now);
+        let capacity = pool.capacity(&self.tolerance, self.started, now);
+        let needed = floor(pool.tokens).min(want.needed);
+        let left = pool.tokens - f64::from(needed) - capacity * PREFETCH_RESERVE;
+        let tokens = needed + floor(left).min(want.spare);
         pool.tokens -= f64::from(tokens);
         let recalled = pool.excess(&self.tolerance).min(want.held);
         if let Some(account) = pool.accounts.get_mut(holder) {
@@ -185,20 +188,20 @@
         })
     }
 
-    /// Takes over the requests a second that the allocator before saw.
+    /// Sets the demand in requests per second, as measured by the previous allocator.
     pub fn set_demand(&mut self, workspace: &WorkspaceName, demand: f64, now: Moment) {
         if let Some(pool) = self.pools.get_mut(workspace) {
             pool.demand.set(demand, now);
         }
     }
 
-    /// Returns the part of a workspace's limit that this domain has.
+    /// Returns this domain's share of a workspace's limit.
     #[must_use]
     pub fn share(&self, workspace: &WorkspaceName) -> f64 {
         self.pools.get(workspace).map_or(0.0, |pool| pool.share)
     }
 
-    /// Returns the requests a second that all nodes of the domain see, by workspace.
+    /// Returns the demand of each workspace in this domain, in requests per second.
     #[must_use]
     pub fn demand(&self, now: Moment) -> HashMap<WorkspaceName, f64> {
         let demands = self.pools.iter();
@@ -206,7 +209,7 @@
         demands.filter(|(_, demand)| *demand > 0.0).collect()
     }
 
-    /// Returns the tokens of a workspace that nobody has been given.
+    /// Returns the tokens of a workspace that are not granted to any node.
     #[must_use]
     pub fn available(&self, workspace: &WorkspaceName) -> f64 {
         self.pools.get(workspace).map_or(0.0, |pool| pool.tokens)
@@ -218,65 +221,66 @@
         self.limit.refill_rate(tolerance) * self.share
     }
 
-    /// Returns the most tokens that may be here and with nodes.
-    fn room(&self, tolerance: &Tolerance, began: Moment, now: Moment) -> f64 {
-        let room = if now.since(began) < YOUNG {
+    /// Returns the maximum number of tokens in this domain's pool and caches.
+    fn capacity(&self, tolerance: &Tolerance, started: Moment, now: Moment) -> f64 {
+        let capacity = if now.since(started) < STARTUP_TIME {
             self.limit.startup_capacity(tolerance)
         } else {
             self.limit.capacity(tolerance)
         };
-        room * self.share
+        capacity * self.share
     }
 
-    fn handed_out(&self) -> f64 {
+    fn outstanding(&self) -> f64 {
         let held = self.accounts.values().map(|account| account.held);
         held.map(f64::from).sum()
     }
 
-    /// Returns how many tokens too many nodes have.
+    /// Returns by how many tokens the nodes exceed the capacity.
     ///
-    /// An answer renews what its node has, so that tokens of an allocator before this one would never
-    /// lapse, and those of several would add up.
+    /// A grant renews the tokens that its node already holds. If the excess were not recalled, tokens
+    /// of previous allocators would never expire, and those of several allocators would add up.
     fn excess(&self, tolerance: &Tolerance) -> u32 {
         let kept = self.accounts.values();
         let kept = kept.map(|account| f64::from(account.held - account.recalled));
         let kept = kept.sum::<f64>();
-        whole((kept - self.limit.capacity(tolerance) * self.share).ceil())
+        floor((kept - self.limit.capacity(tolerance) * self.share).ceil())
     }
 
-    /// Adds what came in since the last time, up to what may be there.
-    fn fill(&mut self, tolerance: &Tolerance, began: Moment, now: Moment) {
+    /// Drops holders that have timed out, and adds the tokens due since the last refill, up to the
+    /// capacity.
+    fn refill(&mut self, tolerance: &Tolerance, started: Moment, now: Moment) {
         self.accounts
-            .retain(|_, account| now.since(account.heard) <= COUNTED);
-        let room = self.room(tolerance, began, now) - self.handed_out();
-        let came = self.rate(tolerance) * now.since(self.at).as_secs_f64();
-        self.tokens = (self.tokens + came).min(room.max(0.0));
-        self.at = now;
+            .retain(|_, account| now.since(account.last_heard) <= HOLDER_TIMEOUT);
+        let free = self.capacity(tolerance, started, now) - self.outstanding();
+        let refilled = self.rate(tolerance) * now.since(self.updated).as_secs_f64();
+        self.tokens = (self.tokens + refilled).min(free.max(0.0));
+        self.updated = now;
     }
 
-    /// Returns the time after which a node that lacks tokens finds some.
+    /// Returns the time after which a node that lacks tokens should ask again.
     fn wait(&self, tolerance: &Tolerance, missing: u32, now: Moment) -> Duration {
         let rate = self.rate(tolerance);
         if missing == 0 || rate <= 0.0 {
             return if missing == 0 {
                 Duration::ZERO
             } else {
-                LONGEST_WAIT
+                MAX_WAIT
             };
         }
-        // The more is asked beyond the rate, the longer until it is somebody's turn.
+        // If demand exceeds the rate, nodes compete for each token, and wait longer in proportion.
         let excess = (self.demand.rate(now) / rate).max(1.0);
         let first = (1.0 - self.tokens).max(0.0) / rate;
-        let wait = Duration::try_from_secs_f64(first * excess).unwrap_or(LONGEST_WAIT);
-        wait.clamp(SHORTEST_WAIT, LONGEST_WAIT)
+        let wait = Duration::try_from_secs_f64(first * excess).unwrap_or(MAX_WAIT);
+        wait.clamp(MIN_WAIT, MAX_WAIT)
     }
 }
 
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a number below 0 is none, and no limit comes near the greatest"
+    reason = "negative numbers are clamped to zero, and limits are far below the maximum"
 )]
-fn whole(tokens: f64) -> u32 {
+fn floor(tokens: f64) -> u32 {
     tokens.max(0.0) as u32
 }
--- a/crates/quota/src/cache.rs
+++ b/crates/quota/src/cache.rs
@@ -1,4 +1,4 @@
-//! The tokens that one node has fetched.
+//! The tokens that one node has fetched from its allocator.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,157 +8,158 @@
 use crate::allocator::{Grant, Want};
 use crate::meter::Meter;
 
-/// How long tokens are good after they were asked for. As long as a cut that is worth bridging
-/// lasts; an allocator that hears nothing counts them for longer.
-pub(crate) const HOLD: Duration = Duration::from_secs(5);
-/// For how long the tokens last that a node tries to have: many times the way to the allocator, so
-/// that few requests wait, and little enough to leave most tokens where all nodes can fetch them.
-const STOCK_TIME: Duration = Duration::from_millis(300);
-/// Over how long the demand is averaged for that.
-const DEMAND_SPAN: Duration = Duration::from_secs(1);
-/// Half of the stock is used before more is fetched.
-const REFILL_FROM: f64 = 0.5;
-/// How long a workspace is remembered after its last request.
-const FORGET: Duration = Duration::from_secs(30);
-
-/// What became of the attempt to take a token.
+/// How long tokens are valid after they were requested: as long as a partition that is worth
+/// bridging lasts. An allocator that hears nothing from a node counts its tokens for longer.
+pub(crate) const TOKEN_LIFETIME: Duration = Duration::from_secs(5);
+/// How much expected demand a node prefetches tokens for: many round trips to the allocator, so that few
+/// requests wait, but little enough to leave most tokens with the allocator for all nodes.
+const PREFETCH_TIME: Duration = Duration::from_millis(300);
+/// The time constant over which the demand for prefetching is averaged.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Tokens are fetched when fewer than this fraction of the prefetch target is left.
+const REFILL_THRESHOLD: f64 = 0.5;
+/// How long a workspace is kept after its last request.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// The result of trying to take a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acquisition {
-    /// It was taken.
+    /// A token was taken.
     Token,
-    /// There is none, and more come after this time.
+    /// The allocator has no tokens either; retry after this time.
     Exhausted(Duration),
-    /// There is none here; the allocator is to be asked.
+    /// The cache is empty; tokens have to be fetched from the allocator.
     Fetch,
 }
 
-/// The tokens of one workspace.
+/// The cached tokens of one workspace.
 #[derive(Debug, Clone, Copy)]
-struct Stock {
+struct Bucket {
     held: u32,
-    /// What the allocator takes it to hold. Used tokens that it does not hear of keep new ones from
-    /// coming: without telling them soon, 5 % of the requests of workspaces that asked three
-    /// quarters of their limits were refused.
-    counted: u32,
-    /// When those were asked for that it got last.
-    asked: Moment,
-    /// How many requests wait for a token.
+    /// The number of tokens that the allocator counts as outstanding on this node. Used tokens take up
+    /// capacity until they are reported: without prompt reports, 5 % of the requests of workspaces at
+    /// three quarters of their limits were rejected.
+    outstanding: u32,
+    /// When the last grant was requested.
+    requested: Moment,
+    /// The number of requests waiting for a token.
     waiting: u32,
-    dry_until: Option<Moment>,
+    exhausted_until: Option<Moment>,
     demand: Meter,
-    /// The requests since the last question,
+    /// Requests that arrived since the last report to the allocator.
     seen: u32,
-    /// and when the last one came.
-    came: Moment,
+    /// When the last request arrived.
+    last_arrival: Moment,
 }
 
-impl Default for Stock {
+impl Default for Bucket {
     fn default() -> Self {
         Self {
             held: 0,
-            counted: 0,
-            asked: Moment::default(),
+            outstanding: 0,
+            requested: Moment::default(),
             waiting: 0,
-            dry_until: None,
-            demand: Meter::over(DEMAND_SPAN),
+            exhausted_until: None,
+            demand: Meter::new(DEMAND_TIME_CONSTANT),
             seen: 0,
-            came: Moment::default(),
+            last_arrival: Moment::default(),
         }
     }
 }
 
-/// The tokens that one node has fetched.
+/// The tokens that one node has fetched from its allocator.
 #[derive(Debug, Default)]
 pub struct Cache {
-    stocks: HashMap<WorkspaceName, Stock>,
+    buckets: HashMap<WorkspaceName, Bucket>,
 }
 
 impl Cache {
-    /// Takes a token for a request that has just come.
+    /// Takes a token for a new request, and counts the request as demand.
     pub fn acquire(&mut self, workspace: &WorkspaceName, now: Moment) -> Acquisition {
-        if !self.stocks.contains_key(workspace) {
-            self.stocks.insert(workspace.clone(), Stock::default());
+        if !self.buckets.contains_key(workspace) {
+            self.buckets.insert(workspace.clone(), Bucket::default());
         }
-        let Some(stock) = self.stocks.get_mut(workspace) else {
+        let Some(bucket) = self.buckets.get_mut(workspace) else {
             return Acquisition::Fetch;
         };
-        stock.demand.note(1, now);
-        stock.seen += 1;
-        stock.came = now;
-        stock.take(now)
+        bucket.demand.record(1, now);
+        bucket.seen += 1;
+        bucket.last_arrival = now;
+        bucket.take(now)
     }
 
-    /// Takes a token for a request that has waited for one.
+    /// Takes a token for a request that has waited for one, and was counted before.
     pub fn acquire_waiting(&mut self, workspace: &WorkspaceName, now: Moment) -> Acquisition {
-        let stock = self.stocks.get_mut(workspace);
-        stock.map_or(Acquisition::Fetch, |stock| stock.take(now))
+        let bucket = self.buckets.get_mut(workspace);
+        bucket.map_or(Acquisition::Fetch, |bucket| bucket.take(now))
     }
 
-    /// Notes that a request waits for a token, or no longer does.
-    pub fn set_waiting(&mut self, workspace: &WorkspaceName, waits: bool) {
-        if let Some(stock) = self.stocks.get_mut(workspace) {
-            stock.waiting = if waits {
-                stock.waiting + 1
+    /// Notes that a request starts or stops waiting for a token.
+    pub fn set_waiting(&mut self, workspace: &WorkspaceName, is_waiting: bool) {
+        if let Some(bucket) = self.buckets.get_mut(workspace) {
+            bucket.waiting = if is_waiting {
+                bucket.waiting + 1
             } else {
-                stock.waiting.saturating_sub(1)
+                bucket.waiting.saturating_sub(1)
             };
         }
     }
 
-    /// Gives a token back whose request did not run.
+    /// Returns the token of a request that did not run.
     pub fn refund(&mut self, workspace: &WorkspaceName) {
-        if let Some(stock) = self.stocks.get_mut(workspace) {
-            stock.held += 1;
+        if let Some(bucket) = self.buckets.get_mut(workspace) {
+            bucket.held += 1;
         }
     }
 
-    /// Returns what is to be asked for now. Only one question may be under way at a time.
+    /// Returns what to request from the allocator now. Only one such request may be in flight at
+    /// a time.
     pub fn wants(&mut self, now: Moment) -> Vec<(WorkspaceName, Want)> {
-        self.stocks
-            .retain(|_, stock| now.since(stock.came) < FORGET);
-        let stocks = self.stocks.iter_mut();
-        let wants = stocks.filter_map(|(name, stock)| Some((name.clone(), stock.want(now)?)));
+        self.buckets
+            .retain(|_, bucket| now.since(bucket.last_arrival) < IDLE_TIMEOUT);
+        let buckets = self.buckets.iter_mut();
+        let wants = buckets.filter_map(|(name, bucket)| Some((name.clone(), bucket.want(now)?)));
         wants.collect()
     }
 
-    /// Takes in the answer to a question that was asked at this moment.
-    pub fn receive(&mut self, workspace: &WorkspaceName, grant: Grant, asked: Moment) {
-        let Some(stock) = self.stocks.get_mut(workspace) else {
+    /// Adds the tokens of a grant that was requested at `requested`.
+    pub fn receive(&mut self, workspace: &WorkspaceName, grant: Grant, requested: Moment) {
+        let Some(bucket) = self.buckets.get_mut(workspace) else {
             return;
         };
-        stock.held = stock.held.saturating_sub(grant.recalled) + grant.tokens;
-        stock.counted += grant.tokens;
-        stock.asked = asked;
+        bucket.held = bucket.held.saturating_sub(grant.recalled) + grant.tokens;
+        bucket.outstanding += grant.tokens;
+        bucket.requested = requested;
         let is_short = !grant.wait.is_zero();
-        stock.dry_until = is_short.then(|| asked + grant.wait);
+        bucket.exhausted_until = is_short.then(|| requested + grant.wait);
     }
 
-    /// Returns true if no workspace was seen lately.
+    /// Returns true if no workspace sent requests recently.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.stocks.is_empty()
+        self.buckets.is_empty()
     }
 
-    /// Voids the tokens of a workspace, since its limit has changed.
+    /// Discards the tokens of a workspace whose limit has changed.
     pub fn invalidate(&mut self, workspace: &WorkspaceName) {
-        if let Some(stock) = self.stocks.get_mut(workspace) {
-            stock.held = 0;
-            stock.dry_until = None;
+        if let Some(bucket) = self.buckets.get_mut(workspace) {
+            bucket.held = 0;
+            bucket.exhausted_until = None;
         }
     }
 
-    /// Returns the tokens that are here.
+    /// Returns the number of valid tokens of a workspace.
     #[must_use]
     pub fn held(&self, workspace: &WorkspaceName, now: Moment) -> u32 {
-        let stock = self.stocks.get(workspace);
-        stock.map_or(0, |stock| stock.good(now))
+        let bucket = self.buckets.get(workspace);
+        bucket.map_or(0, |bucket| bucket.valid(now))
     }
 }
 
-impl Stock {
-    /// Returns the tokens that are still good.
-    fn good(&self, now: Moment) -> u32 {
-        if now.since(self.asked) < HOLD {
+impl Bucket {
+    /// Returns the number of tokens that have not expired.
+    fn valid(&self, now: Moment) -> u32 {
+        if now.since(self.requested) < TOKEN_LIFETIME {
             self.held
         } else {
             0
@@ -166,33 +167,33 @@
     }
 
     fn take(&mut self, now: Moment) -> Acquisition {
-        self.held = self.good(now);
+        self.held = self.valid(now);
         if self.held > 0 {
             self.held -= 1;
             return Acquisition::Token;
         }
-        match self.dry_until {
+        match self.exhausted_until {
             Some(until) if until > now => Acquisition::Exhausted(until.since(now)),
             _ => Acquisition::Fetch,
         }
     }
 
     fn want(&mut self, now: Moment) -> Option<Want> {
-        self.held = self.good(now);
+        self.held = self.valid(now);
         let demand = self.demand.rate(now);
-        let stock = demand * STOCK_TIME.as_secs_f64();
-        let is_low = f64::from(self.held) < stock * REFILL_FROM;
-        let is_dry = self.dry_until.is_some_and(|until| until > now);
-        let is_fetched = self.waiting > 0 || (is_low && !is_dry);
-        if !is_fetched && self.held == self.counted {
+        let target = demand * PREFETCH_TIME.as_secs_f64();
+        let is_low = f64::from(self.held) < target * REFILL_THRESHOLD;
+        let is_exhausted = self.exhausted_until.is_some_and(|until| until > now);
+        let is_fetching = self.waiting > 0 || (is_low && !is_exhausted);
+        if !is_fetching && self.held == self.outstanding {
             return None;
         }
-        self.counted = self.held;
+        self.outstanding = self.held;
         Some(Want {
             held: self.held,
             needed: self.waiting,
-            spare: if is_fetched {
-                floor(stock).saturating_sub(self.held)
+            spare: if is_fetching {
+                floor(target).saturating_sub(self.held)
             } else {
                 0
             },
@@ -204,7 +205,7 @@
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "rates are not below 0, and none comes near the greatest number"
+    reason = "rates are not negative and far below the maximum"
 )]
 fn floor(number: f64) -> u32 {
     number as u32
--- a/crates/quota/src/meter.rs
+++ b/crates/quota/src/meter.rs
@@ -1,42 +1,42 @@
-//! How often something happens.
+//! Measures the rate of events.
 
 use std::time::Duration;
 
 use sailtrack_units::Moment;
 
-/// How often something happens, averaged with weights that fall off exponentially.
+/// Measures the rate of events as an exponentially weighted moving average.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Meter {
-    span: Duration,
+    time_constant: Duration,
     rate: f64,
-    at: Moment,
+    updated: Moment,
 }
 
 impl Meter {
-    /// Returns a meter that averages over so long.
-    pub(crate) const fn over(span: Duration) -> Self {
+    /// Creates a meter whose weights decay by a factor of e in `time_constant`.
+    pub(crate) const fn new(time_constant: Duration) -> Self {
         Self {
-            span,
+            time_constant,
             rate: 0.0,
-            at: Moment::since_boot(Duration::ZERO),
+            updated: Moment::since_boot(Duration::ZERO),
         }
     }
 
-    /// Sets how many events there were a second up to now.
+    /// Sets the rate in events per second.
     pub(crate) fn set(&mut self, rate: f64, now: Moment) {
         self.rate = rate;
-        self.at = now;
+        self.updated = now;
     }
 
-    /// Notes so many events.
-    pub(crate) fn note(&mut self, count: u32, now: Moment) {
-        self.rate = self.rate(now) + f64::from(count) / self.span.as_secs_f64();
-        self.at = now;
+    /// Records a number of events.
+    pub(crate) fn record(&mut self, count: u32, now: Moment) {
+        self.rate = self.rate(now) + f64::from(count) / self.time_constant.as_secs_f64();
+        self.updated = now;
     }
 
-    /// Returns how many events there are a second.
+    /// Returns the rate in events per second.
     pub(crate) fn rate(&self, now: Moment) -> f64 {
-        let age = now.since(self.at).as_secs_f64() / self.span.as_secs_f64();
+        let age = now.since(self.updated).as_secs_f64() / self.time_constant.as_secs_f64();
         self.rate * (-age).exp()
     }
 }
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -1,9 +1,9 @@
-//! Which failure domain has which part of the limits, and which node keeps it.
+//! The shares of the limits that each failure domain has, and the leases of their allocators.
 //!
-//! One row of the store holds it, written under the condition that nobody
-//! else wrote it meanwhile. A domain lowers only its own part and raises it
-//! only by what nobody has, so the parts of a workspace never add up to more
-//! than one.
+//! They are stored in one row, which is replaced only if no other node has
+//! written it since it was read. A domain changes only its own shares, and
+//! raises them only by what no other domain has, so the shares of a workspace
+//! never add up to more than one.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -11,145 +11,147 @@
 use sailtrack_units::{DomainName, NodeName, WorkspaceName};
 use serde::{Deserialize, Serialize};
 
-use crate::cache::HOLD;
+use crate::cache::TOKEN_LIFETIME;
 
-/// How long an allocator may go without renewing its lease: two lost renewals, and no longer than
-/// callers of a node that has lost the store are served on its behalf.
+/// How long a lease lasts unless it is renewed. An allocator can miss two renewals. It is no longer
+/// than the time for which other nodes serve the callers of a node that cannot reach the store.
 pub const LEASE_DURATION: Duration = Duration::from_secs(4);
-/// How long after the end of a lease the parts of a domain are left alone: its nodes may still
-/// use tokens.
-pub const LEASE_GRACE: Duration = HOLD.saturating_add(Duration::from_secs(1));
-/// The demand of a workspace is taken for that of this many requests a second more, divided as
-/// the demand of all workspaces is: of few requests, how they divide is mostly chance, and a domain
-/// where a workspace was quiet has something for its first requests.
-const COMMON_DEMAND: f64 = 3.0;
-/// A part is lowered when it is this much too large, so that parts do not follow each wave.
-const LOWER_FROM: f64 = 1.1;
-/// The most by which a part is lowered at once: what nodes hold must fit into the rest.
-const LOWEST_STEP: f64 = 0.5;
-/// Parts are written in steps of one in so many.
-const STEPS: f64 = 10_000.0;
+/// How long the shares of a domain are kept after the end of its lease: its nodes may still use
+/// tokens.
+pub const LEASE_GRACE: Duration = TOKEN_LIFETIME.saturating_add(Duration::from_secs(1));
+/// Smoothing term in requests per second that is added to the demand of a workspace, divided among
+/// the domains like the demand of all workspaces. With few requests, their distribution is
+/// mostly chance, and a domain without recent demand needs tokens for the first requests.
+const SMOOTHING_DEMAND: f64 = 3.0;
+/// A share is lowered if it exceeds its target by this factor, so that it does not follow every
+/// fluctuation.
+const LOWERING_THRESHOLD: f64 = 1.1;
+/// A share is lowered to no less than this fraction of its value at a time, since the tokens that
+/// nodes hold must fit into the remainder.
+const LOWERING_LIMIT: f64 = 0.5;
+/// Shares are rounded down to multiples of one in this number.
+const RESOLUTION: f64 = 10_000.0;
 
-/// Which node keeps the tokens of a failure domain.
+/// The right of one node to be the allocator of a failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The allocator,
+    /// The node that is the allocator.
     pub holder: NodeName,
-    /// and its life.
+    /// The incarnation of that node.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Grows with each allocator of the domain.
+    /// Increases with each change of the allocator.
     pub term: u64,
-    /// When it ends, in milliseconds of the store's clock.
+    /// When the lease expires, in milliseconds of the store's clock.
     pub until_ms: u64,
-    /// The era of the store in which it was given.
+    /// The era of the store in which the lease was granted.
     #[serde(default)]
     pub era: u64,
 }
 
 impl Lease {
-    /// Returns true if it has ended, or ends later than any lease that is given now: the clock of
-    /// the store has begun anew since then.
-    fn has_ended(&self, now: Now) -> bool {
+    /// Returns true if the lease has expired. A lease that ends later than any one granted now could
+    /// counts as expired too, since the store's clock was reset after it was granted.
+    fn has_expired(&self, now: Now) -> bool {
         let longest = now.at_most_ms + 2 * millis(LEASE_DURATION);
         self.until_ms <= now.at_least_ms || self.until_ms > longest
     }
 }
 
-/// One failure domain.
+/// The lease, demand and shares of one failure domain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Domain {
-    /// Who keeps its tokens.
+    /// The lease of its allocator.
     pub lease: Lease,
-    /// The requests a second that its nodes see.
+    /// The demand of each workspace in requests per second.
     pub demand: BTreeMap<WorkspaceName, f64>,
-    /// Its parts of the limits, from 0 to 1.
+    /// Its share of each workspace's limit, from 0 to 1.
     #[serde(rename = "parts")]
     pub shares: BTreeMap<WorkspaceName, f64>,
 }
 
-/// All failure domains.
+/// The shares of all failure domains, as stored in one row.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Shares {
-    /// The domains that had an allocator lately.
+    /// The domains whose lease is valid or in its grace period.
     pub domains: BTreeMap<DomainName, Domain>,
-    /// The era of the store in which it was last written.
+    /// The era of the store in which the row was last written.
     #[serde(default)]
     pub era: u64,
-    /// When it was first written after the store came back from a copy, in milliseconds of the store's
-    /// clock; zero if that was not seen.
+    /// When the row was first written after the store was restored from a backup, in milliseconds of
+    /// the store's clock; zero if no restore was seen.
     #[serde(default, rename = "copied_ms")]
     pub restored_ms: u64,
 }
 
-/// What an allocator has, as it knows itself.
+/// What an allocator holds, independently of the store.
 #[derive(Debug, Clone)]
 pub struct Holding {
-    /// Its term,
+    /// The term of its lease.
     pub term: u64,
-    /// and the parts by which it gives tokens.
+    /// The shares by which it grants tokens.
     pub shares: BTreeMap<WorkspaceName, f64>,
 }
 
-/// What an allocator, or a node that wants to be one, says of itself.
+/// A request to renew or take over the lease of a domain.
 #[derive(Debug, Clone)]
 pub struct Claim {
-    /// Where it is.
+    /// The failure domain of the node.
     pub domain: DomainName,
-    /// Who it is,
+    /// The node that makes the claim.
     pub node: NodeName,
-    /// and its life.
+    /// The incarnation of the node.
     pub incarnation: u64,
-    /// How many failure domains it knows, its own included.
+    /// The number of failure domains that the node knows, including its own.
     pub domain_count: usize,
-    /// It is not the allocator yet, so it knows no demand.
+    /// The node is not the allocator yet, so it has not measured any demand.
     pub is_new: bool,
-    /// The era of the store,
+    /// The current era of the store.
     pub era: u64,
-    /// and whether the node has seen an earlier one.
+    /// The node has seen an earlier era, so the store was restored from a backup.
     pub has_seen_restore: bool,
-    /// What it has while its lease holds.
+    /// What the node holds as the allocator, if it has a valid lease.
     pub holding: Option<Holding>,
-    /// The requests a second that nodes of its domain see.
+    /// The demand of each workspace in the domain, in requests per second.
     pub demand: BTreeMap<WorkspaceName, f64>,
-    /// The workspaces that have limits.
+    /// The workspaces that have a limit.
     pub limited: Vec<WorkspaceName>,
 }
 
-/// What the clock of the store shows at present, at least and at most, in milliseconds.
+/// Bounds on the current time of the store's clock, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Now {
-    /// At least.
+    /// The earliest possible time.
     pub at_least_ms: u64,
-    /// At most.
+    /// The latest possible time.
     pub at_most_ms: u64,
 }
 
 impl Shares {
-    /// Renews the lease of a domain or takes it over, and moves its parts towards the demand;
-    /// returns the lease, or nothing if another node has it.
+    /// Renews the lease of a domain or takes it over, and adjusts the domain's shares to the demand.
+    /// Returns the lease, or `None` if another node holds it.
     ///
-    /// `is_gone` tells of a life of a node that it surely has ended.
+    /// `is_gone` returns true if the holder of a lease has certainly terminated.
     pub fn claim(
         &mut self,
         claim: &Claim,
         now: Now,
         is_gone: impl Fn(&Lease) -> bool,
     ) -> Option<Lease> {
-        self.note_era(claim, now);
-        self.forget_lapsed(claim, now);
-        let claim = &self.complete(claim);
+        self.detect_restore(claim, now);
+        self.remove_expired(claim, now);
+        let claim = &self.with_stored_demand(claim);
         let before = self.domains.get(&claim.domain);
         let lease = before.map(|domain| &domain.lease);
-        let is_lost = self.is_settling(now) && lease.is_none_or(|lease| lease.era != self.era);
+        let is_unknown = self.is_recovering(now) && lease.is_none_or(|lease| lease.era != self.era);
         let term = match lease {
-            // The copy does not know who had the role last; that node does.
-            _ if is_lost => claim.holding.as_ref()?.term,
+            // The backup may lack the latest lease; only its holder may continue with it.
+            _ if is_unknown => claim.holding.as_ref()?.term,
             None => 1,
             Some(lease) if lease.holder == claim.node && lease.incarnation == claim.incarnation => {
                 lease.term
             }
-            Some(lease) if lease.has_ended(now) || is_gone(lease) => lease.term + 1,
+            Some(lease) if lease.has_expired(now) || is_gone(lease) => lease.term + 1,
             Some(_) => return None,
         };
         let lease = Lease {
@@ -160,8 +162,8 @@
             era: self.era,
         };
         let shares = claim.limited.iter().map(|workspace| {
-            let share = if self.is_settling(now) {
-                self.settled_share(claim, workspace)
+            let share = if self.is_recovering(now) {
+                self.recovery_share(claim, workspace)
             } else {
                 self.next_share(claim, workspace)
             };
@@ -176,8 +178,8 @@
         Some(lease)
     }
 
-    /// Ends the lease of a node that stops, so that another one can take it over at once; the
-    /// parts stay those of the domain, as after any other end.
+    /// Ends the lease of a node that shuts down, so that another one can take over at once. The
+    /// domain keeps its shares, as after an expiry. Returns false if the node has no lease.
     pub fn release(
         &mut self,
         domain: &DomainName,
@@ -195,7 +197,7 @@
         is_own
     }
 
-    /// Returns the part of a workspace's limit that a domain has.
+    /// Returns a domain's share of a workspace's limit.
     #[must_use]
     pub fn share(&self, domain: &DomainName, workspace: &WorkspaceName) -> f64 {
         let domain = self.domains.get(domain);
@@ -203,12 +205,12 @@
         share.copied().unwrap_or(0.0)
     }
 
-    /// Returns a claim with the demand that was known before, if its node has seen none yet.
+    /// Returns the claim with the demand stored for the domain if the node is a new allocator.
     ///
-    /// A node that has just become the allocator has heard of no requests. Its domain would give up
-    /// half of its parts at once: on a day on which five of six allocators were lost or turned away,
-    /// a third of all requests was refused, by the domains' limits alone.
-    fn complete(&self, claim: &Claim) -> Claim {
+    /// A new allocator has not seen any requests yet. Without this its domain would give up half of
+    /// its shares at once: on a day when five of six allocators were lost or rejected, a third of
+    /// all requests was rejected because of the domains' limits alone.
+    fn with_stored_demand(&self, claim: &Claim) -> Claim {
         let mut claim = claim.clone();
         let before = self.domains.get(&claim.domain);
         if let Some(before) = before.filter(|_| claim.is_new) {
@@ -217,28 +219,28 @@
         claim
     }
 
-    /// Takes in the era of the store. What was written in an earlier one is a copy: it may lack the
-    /// last allocators of domains, and the last parts that they took.
-    fn note_era(&mut self, claim: &Claim, now: Now) {
+    /// Detects a restore by a change of the store's era. A row from an earlier era comes from a
+    /// backup and may lack the latest leases and shares.
+    fn detect_restore(&mut self, claim: &Claim, now: Now) {
         if self.era == claim.era {
             return;
         }
-        // A row that nobody wrote may be the first one, or lost.
-        let is_copy = self.era > 0 || claim.has_seen_restore;
+        // A row that was never written is either new, or missing from the backup.
+        let was_restored = self.era > 0 || claim.has_seen_restore;
         self.era = claim.era;
-        self.restored_ms = if is_copy { now.at_most_ms } else { 0 };
+        self.restored_ms = if was_restored { now.at_most_ms } else { 0 };
     }
 
-    /// Returns true for as long as what the copy lacks may be in use: until the leases of before have
-    /// ended, and the tokens given by them. Until then only those who hold a lease go on, each with
-    /// the parts that it has, and those whom they hand it over.
-    fn is_settling(&self, now: Now) -> bool {
+    /// Returns true while leases and tokens that the restored backup lacks may still be in use.
+    /// Until they have expired, only nodes that hold a lease go on, with the shares that they have,
+    /// and their successors once they release it.
+    fn is_recovering(&self, now: Now) -> bool {
         let end = self.restored_ms + millis(LEASE_DURATION) + millis(LEASE_GRACE);
         self.restored_ms > 0 && now.at_least_ms < end
     }
 
-    /// Returns the part of a domain while parts are not moved.
-    fn settled_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
+    /// Returns the share of a domain during recovery, when shares do not change.
+    fn recovery_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
         let holding = claim
             .holding
             .as_ref()
@@ -249,50 +251,52 @@
         }
     }
 
-    fn forget_lapsed(&mut self, claim: &Claim, now: Now) {
+    /// Removes other domains whose lease and grace period are over.
+    fn remove_expired(&mut self, claim: &Claim, now: Now) {
         self.domains.retain(|name, domain| {
             let end = domain.lease.until_ms + millis(LEASE_GRACE);
             *name == claim.domain || end > now.at_least_ms
         });
     }
 
-    /// Returns the part that the domain is to have next: lowered at once, raised by what is free.
+    /// Returns the next share of the domain. It is lowered towards the target, or raised by what no
+    /// other domain has.
     fn next_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
         let share = self.share(&claim.domain, workspace);
         let others = self.domains.keys().filter(|name| **name != claim.domain);
-        let taken: f64 = others.map(|name| self.share(name, workspace)).sum();
-        let free = (1.0 - taken - share).max(0.0);
-        let wanted = self.wanted_share(claim, workspace);
-        let next = if wanted * LOWER_FROM < share {
-            wanted.max(share * LOWEST_STEP)
-        } else if wanted <= share {
+        let others_total: f64 = others.map(|name| self.share(name, workspace)).sum();
+        let free = (1.0 - others_total - share).max(0.0);
+        let target = self.target_share(claim, workspace);
+        let next = if target * LOWERING_THRESHOLD < share {
+            target.max(share * LOWERING_LIMIT)
+        } else if target <= share {
             return share;
         } else {
-            wanted.min(share + free)
+            target.min(share + free)
         };
-        (next * STEPS).floor() / STEPS
+        (next * RESOLUTION).floor() / RESOLUTION
     }
 
-    /// Returns the part that the demand in the domain stands for.
-    fn wanted_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
+    /// Returns the share that corresponds to the domain's part of the demand for the workspace.
+    fn target_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
         let own = claim.demand.get(workspace).copied().unwrap_or(0.0);
         let others = self.others(claim);
         let others = others.filter_map(|domain| domain.demand.get(workspace));
         let all = own + others.sum::<f64>();
-        let common = COMMON_DEMAND * self.common_share(claim);
-        (own + common) / (all + COMMON_DEMAND)
+        let smoothing = SMOOTHING_DEMAND * self.total_demand_fraction(claim);
+        (own + smoothing) / (all + SMOOTHING_DEMAND)
     }
 
-    /// Returns the part of the demand of all workspaces that is in the domain.
-    #[allow(clippy::cast_precision_loss, reason = "domains are few")]
-    fn common_share(&self, claim: &Claim) -> f64 {
+    /// Returns the domain's fraction of the total demand of all workspaces.
+    #[allow(clippy::cast_precision_loss, reason = "there are few domains")]
+    fn total_demand_fraction(&self, claim: &Claim) -> f64 {
         let own: f64 = claim.demand.values().sum();
         let others = self.others(claim).flat_map(|domain| domain.demand.values());
         let all = own + others.sum::<f64>();
         let names = self.domains.keys().chain([&claim.domain]);
         let names = names.collect::<HashSet<_>>().len().max(claim.domain_count) as f64;
-        // A little for each, since a domain may have had no demand yet.
-        (own + COMMON_DEMAND) / (all + COMMON_DEMAND * names)
+        // Smoothed, since a domain may not have had any demand yet.
+        (own + SMOOTHING_DEMAND) / (all + SMOOTHING_DEMAND * names)
     }
 
     fn others<'a>(&'a self, claim: &'a Claim) -> impl Iterator<Item = &'a Domain> {
