--- a/crates/quota/benches/decision.rs
+++ b/crates/quota/benches/decision.rs
@@ -1,4 +1,4 @@
-//! How long the decisions about tokens take, with few and with many workspaces and nodes.
+//! Measures how long taking and granting tokens takes, by numbers of workspaces and nodes.
 
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -20,10 +20,10 @@
 
 fn names(count: usize) -> Vec<WorkspaceName> {
     let names = (0..count).map(|number| format!("w{number}").parse());
-    names.map(|name| name.expect("a sound name")).collect()
+    names.map(|name| name.expect("valid name")).collect()
 }
 
-/// Returns the time of one token taken by a request.
+/// Returns the mean time for a request to take a token from the cache.
 fn take(workspaces: usize) -> Duration {
     let names = names(workspaces);
     let now = Moment::since_boot(Duration::from_secs(10));
@@ -37,14 +37,14 @@
         };
         cache.receive(name, grant, now);
     }
-    let began = Instant::now();
+    let started = Instant::now();
     for round in 0..ROUNDS as usize {
         black_box(cache.acquire(&names[round % names.len()], now));
     }
-    began.elapsed() / ROUNDS
+    started.elapsed() / ROUNDS
 }
 
-/// Returns the time of one question about one workspace.
+/// Returns the mean time for the allocator to answer a token request for one workspace.
 fn ask(workspaces: usize, nodes: usize) -> Duration {
     let names = names(workspaces);
     let now = Moment::since_boot(Duration::from_secs(10));
@@ -55,7 +55,7 @@
         allocator.set_share(name, 1.0, now);
     }
     let holders = (0..nodes).map(|number| Holder {
-        node: format!("n{number}").parse().expect("a sound name"),
+        node: format!("n{number}").parse().expect("valid name"),
         incarnation: 1,
     });
     let holders: Vec<_> = holders.collect();
@@ -63,15 +63,15 @@
         needed: 1,
         ..Want::default()
     };
-    let began = Instant::now();
+    let started = Instant::now();
     let rounds = ROUNDS / 10;
     for round in 0..rounds as usize {
         let holder = &holders[round % nodes];
-        let question = u64::try_from(round + 1).expect("it fits");
-        let now = now + Duration::from_micros(10) * u32::try_from(round).expect("it fits");
-        black_box(allocator.allocate((holder, question), &names[round % names.len()], want, now));
+        let sequence = u64::try_from(round + 1).expect("fits");
+        let now = now + Duration::from_micros(10) * u32::try_from(round).expect("fits");
+        black_box(allocator.allocate((holder, sequence), &names[round % names.len()], want, now));
     }
-    began.elapsed() / rounds
+    started.elapsed() / rounds
 }
 
 fn main() {
