--- a/crates/quota/tests/copies.rs
+++ b/crates/quota/tests/copies.rs
@@ -1,5 +1,5 @@
-//! Allocators of several failure domains while their store comes back from copies: no domain has two
-//! at once, and the parts by which tokens are given never add up to more than there is.
+//! Leases and shares while the store is restored from backups: no failure domain has two allocators
+//! at once, and the shares by which they grant tokens never add up to more than one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 const DOMAINS: usize = 3;
 const NODES: usize = 6;
 
-/// What may happen next.
+/// A random event of the simulation.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Wait(u64),
-    /// A node reads the row, if it has no lease or is to renew it.
+    /// A node reads the row and prepares a claim or renewal.
     Read(usize),
-    /// It writes what it made of the row; its answer may be lost.
+    /// The node writes its claim; the answer of the store may be lost.
     Write(usize, bool),
-    /// The store is copied.
-    Copy,
-    /// It comes back from the copy of so many copies ago.
+    /// The store is backed up.
+    Backup,
+    /// The store is restored from the nth latest backup, counted from 0.
     Restore(usize),
-    /// A node starts anew.
+    /// A node restarts.
     Restart(usize),
-    /// Its demand changes.
+    /// The demand at a node changes.
     Demand(usize, u8),
 }
 
@@ -37,43 +37,43 @@
         4 => prop_oneof![Just(50_u64), Just(300), Just(1200), Just(2500)].prop_map(Step::Wait),
         8 => node.clone().prop_map(Step::Read),
         8 => (node.clone(), prop::bool::weighted(0.1)).prop_map(|(node, lost)| Step::Write(node, lost)),
-        2 => Just(Step::Copy),
+        2 => Just(Step::Backup),
         1 => (0..4_usize).prop_map(Step::Restore),
         1 => node.clone().prop_map(Step::Restart),
         2 => (node, 0..50_u8).prop_map(|(node, demand)| Step::Demand(node, demand)),
     ]
 }
 
-/// The row, with the version at which it was last changed.
+/// The row in the store, with its version.
 #[derive(Debug, Clone, Default)]
 struct Stored {
     shares: Shares,
     version: u64,
 }
 
-/// What a node has read and is about to write.
+/// A claim that a node has prepared and is about to write.
 #[derive(Debug, Clone)]
 struct Draft {
     shares: Shares,
     version: u64,
     era: u64,
-    asked: u64,
+    requested: u64,
     is_claimed: bool,
 }
 
-/// The lease of a node, as it knows it.
+/// The lease of a node, as the node knows it.
 #[derive(Debug, Clone)]
 struct Term {
     number: u64,
     until: u64,
-    /// The part by which it gives tokens.
+    /// The share by which it grants tokens.
     share: f64,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Node {
     incarnation: u64,
-    /// The latest era of which it has heard, and whether it had heard of one before.
+    /// The latest era of the store that it has seen, and whether it saw an earlier one before.
     era: Option<u64>,
     has_seen_restore: bool,
     demand: f64,
@@ -85,21 +85,20 @@
     now: u64,
     era: u64,
     store: Stored,
-    copies: Vec<Stored>,
+    backups: Vec<Stored>,
     nodes: Vec<Node>,
     workspace: WorkspaceName,
-    /// The domains, ends and parts of leases that are over, until the tokens given by them are too.
+    /// The domains, end times and shares of ended leases, for as long as tokens granted under them may
+    /// be used.
     ended: Vec<(usize, u64, f64)>,
 }
 
 fn domain(node: usize) -> DomainName {
-    format!("d{}", node % DOMAINS)
-        .parse()
-        .expect("a sound name")
+    format!("d{}", node % DOMAINS).parse().expect("valid name")
 }
 
 fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).expect("a time of seconds")
+    u64::try_from(time.as_millis()).expect("time fits")
 }
 
 impl World {
@@ -108,19 +107,19 @@
             now: 100_000,
             era: 1,
             store: Stored::default(),
-            copies: vec![],
+            backups: vec![],
             nodes: vec![Node::default(); NODES],
-            workspace: "mills".parse().expect("a sound name"),
+            workspace: "mills".parse().expect("valid name"),
             ended: Vec::new(),
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Wait(time) => self.now += time,
             Step::Read(node) => self.read(node),
             Step::Write(node, is_lost) => self.write(node, is_lost),
-            Step::Copy => self.copies.push(self.store.clone()),
+            Step::Backup => self.backups.push(self.store.clone()),
             Step::Restore(back) => self.restore(back),
             Step::Restart(node) => self.restart(node),
             Step::Demand(node, demand) => self.nodes[node].demand = f64::from(demand),
@@ -129,14 +128,14 @@
     }
 
     fn restore(&mut self, back: usize) {
-        let Some(place) = self.copies.len().checked_sub(1 + back) else {
+        let Some(place) = self.backups.len().checked_sub(1 + back) else {
             return;
         };
-        // A row that was never written tells nothing of its loss to those who are new.
-        if self.copies[place].version == 0 {
+        // From a backup without the row, new nodes could not tell that it was restored.
+        if self.backups[place].version == 0 {
             return;
         }
-        self.store = self.copies[place].clone();
+        self.store = self.backups[place].clone();
         self.era += 1;
     }
 
@@ -160,8 +159,8 @@
                 self.ended.push((number % DOMAINS, term.until, term.share));
             }
         }
-        let kept = millis(LEASE_GRACE) - 1000;
-        self.ended.retain(|(_, ended, _)| ended + kept > self.now);
+        let grace = millis(LEASE_GRACE) - 1000;
+        self.ended.retain(|(_, ended, _)| ended + grace > self.now);
     }
 
     fn read(&mut self, number: usize) {
@@ -175,7 +174,7 @@
         });
         let claim = Claim {
             domain: domain(number),
-            node: format!("n{number}").parse().expect("a sound name"),
+            node: format!("n{number}").parse().expect("valid name"),
             incarnation: node.incarnation,
             domain_count: DOMAINS,
             is_new: node.term.is_none(),
@@ -193,7 +192,7 @@
         let lease = shares.claim(&claim, now, |lease| {
             lease.holder == claim.node && lease.incarnation != claim.incarnation
         });
-        // What is lowered is given up before it is written.
+        // A lowered share takes effect before it is written.
         if let (Some(term), Some(_)) = (&mut node.term, &lease) {
             let next = shares.share(&claim.domain, &self.workspace);
             term.share = term.share.min(next);
@@ -203,7 +202,7 @@
             shares,
             version: self.store.version,
             era,
-            asked: self.now,
+            requested: self.now,
         });
     }
 
@@ -211,16 +210,16 @@
         let Some(draft) = self.nodes[number].draft.take() else {
             return;
         };
-        // A node compares eras before it writes, and gives a call two seconds.
-        let is_late = self.now > draft.asked + 2000;
-        if draft.era != self.era || draft.version != self.store.version || is_late {
+        // A node compares eras before it writes, and its calls time out after two seconds.
+        let is_timed_out = self.now > draft.requested + 2000;
+        if draft.era != self.era || draft.version != self.store.version || is_timed_out {
             return;
         }
         self.store.version += 1;
         self.store.shares = draft.shares.clone();
         if draft.is_claimed {
-            // The next allocator of a domain answers for the tokens of the one before: it begins with
-            // less room, also if it moves the part at once.
+            // A new allocator accounts for the tokens of its predecessor by starting with a smaller
+            // capacity, even if its share changes at once.
             self.ended.retain(|ended| ended.0 != number % DOMAINS);
         }
         if is_lost || !draft.is_claimed {
@@ -230,23 +229,24 @@
         let node = &mut self.nodes[number];
         node.term = Some(Term {
             number: draft.shares.domains[&name].lease.term,
-            until: draft.asked + millis(LEASE_DURATION),
+            until: draft.requested + millis(LEASE_DURATION),
             share: draft.shares.share(&name, &self.workspace),
         });
     }
 
     fn allocators(&self, domain: usize) -> usize {
         let nodes = self.nodes.iter().enumerate();
-        let near = nodes.filter(|(number, _)| number % DOMAINS == domain);
-        near.filter(|(_, node)| node.term.is_some()).count()
+        let in_domain = nodes.filter(|(number, _)| number % DOMAINS == domain);
+        in_domain.filter(|(_, node)| node.term.is_some()).count()
     }
 
-    /// Returns the parts by which all domains give tokens, or have given those that are still used.
+    /// Returns the sum of the shares by which all domains grant tokens, or have granted tokens that may
+    /// still be used.
     fn all_shares(&self) -> f64 {
         let shares = (0..DOMAINS).map(|domain| {
             let nodes = self.nodes.iter().enumerate();
-            let near = nodes.filter(|(number, _)| number % DOMAINS == domain);
-            let term = near
+            let in_domain = nodes.filter(|(number, _)| number % DOMAINS == domain);
+            let term = in_domain
                 .map(|(_, node)| node.term.as_ref())
                 .find(Option::is_some);
             let ended = self.ended.iter().filter(|ended| ended.0 == domain);
@@ -264,7 +264,7 @@
     fn leases_exclude(steps in prop::collection::vec(step(), 1..200)) {
         let mut world = World::new();
         for step in steps {
-            world.play(step);
+            world.apply(step);
             for domain in 0..DOMAINS {
                 prop_assert!(world.allocators(domain) <= 1, "two in domain {domain}");
             }
