--- a/crates/quota/tests/interleavings.rs
+++ b/crates/quota/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Messages that are lost, late or doubled, allocators that change and nodes that stand still: what
-//! runs keeps to the limit in every order of events.
+//! The limit holds in every order of events: lost, delayed and duplicated messages, changes of the
+//! allocator, and nodes that stall.
 
 use std::time::Duration;
 
@@ -18,28 +18,29 @@
     slack: 20.0,
 };
 
-/// Allocators of this test change no sooner than this: after it nobody holds tokens of the one before.
-const ALLOCATORS_APART: Duration = Duration::from_secs(6);
+/// The minimum time between changes of the allocator, after which no node holds tokens of the
+/// predecessor.
+const MIN_REPLACE_INTERVAL: Duration = Duration::from_secs(6);
 
-/// The most requests that may run in a window: (10 x 5 + 10) x 1.1 + 20.
-const MOST: usize = 86;
+/// The maximum number of requests in a window: (10 x 5 + 10) x 1.1 + 20.
+const MAX_REQUESTS: usize = 86;
 
-/// What may happen next.
+/// A random event of the simulation.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Time passes.
+    /// Time passes, in milliseconds.
     Wait(u64),
-    /// Requests come to a node, one after the other.
+    /// A number of requests arrive at a node.
     Requests(usize, u8),
-    /// A node sends a question; an earlier one that is not answered is given up.
+    /// A node sends a token request, and abandons an earlier one that is not answered.
     Ask(usize),
-    /// A question under way arrives, and stays under way if it is doubled.
+    /// A token request in flight arrives at the allocator, and stays in flight if it is duplicated.
     Arrive(usize, bool),
-    /// An answer under way arrives.
+    /// A grant in flight arrives at its node.
     Answer(usize),
-    /// An answer under way is lost.
+    /// A grant in flight is lost.
     Lose(usize),
-    /// The allocator is lost; another one takes its place.
+    /// The allocator is lost and replaced by a new one.
     Replace,
 }
 
@@ -57,19 +58,19 @@
 }
 
 #[derive(Debug, Clone)]
-struct Question {
+struct TokenRequest {
     node: usize,
     number: u64,
     want: Want,
-    asked: Moment,
+    requested: Moment,
 }
 
 struct Node {
     holder: Holder,
     cache: Cache,
-    /// The number of the last question, and whether its answer is awaited.
-    question: u64,
-    awaits: bool,
+    /// The number of the last token request, and whether the node waits for the grant.
+    request: u64,
+    is_waiting: bool,
 }
 
 struct World {
@@ -77,8 +78,8 @@
     workspace: WorkspaceName,
     allocator: Allocator,
     nodes: Vec<Node>,
-    questions: Vec<Question>,
-    answers: Vec<(Question, Grant)>,
+    requests: Vec<TokenRequest>,
+    grants: Vec<(TokenRequest, Grant)>,
     ran: Vec<Moment>,
 }
 
@@ -87,20 +88,20 @@
         let now = Moment::since_boot(Duration::from_secs(50));
         let nodes = (0..NODES).map(|number| Node {
             holder: Holder {
-                node: format!("n{number}").parse().expect("a sound name"),
+                node: format!("n{number}").parse().expect("valid name"),
                 incarnation: 1,
             },
             cache: Cache::default(),
-            question: 0,
-            awaits: false,
+            request: 0,
+            is_waiting: false,
         });
         let mut world = Self {
             now,
-            workspace: "mills".parse().expect("a sound name"),
+            workspace: "mills".parse().expect("valid name"),
             allocator: Allocator::new(TOLERANCE, now),
             nodes: nodes.collect(),
-            questions: Vec::new(),
-            answers: Vec::new(),
+            requests: Vec::new(),
+            grants: Vec::new(),
             ran: Vec::new(),
         };
         world.replace();
@@ -114,7 +115,7 @@
         self.allocator.set_share(&self.workspace, 1.0, self.now);
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Wait(millis) => self.now = self.now + Duration::from_millis(millis),
             Step::Requests(node, count) => {
@@ -129,9 +130,9 @@
             Step::Arrive(place, twice) => self.arrive(place, twice),
             Step::Answer(place) => self.answer(place),
             Step::Lose(place) => {
-                if !self.answers.is_empty() {
-                    let place = place % self.answers.len();
-                    self.answers.remove(place);
+                if !self.grants.is_empty() {
+                    let place = place % self.grants.len();
+                    self.grants.remove(place);
                 }
             }
             Step::Replace => self.replace(),
@@ -143,85 +144,86 @@
         node.cache.set_waiting(&self.workspace, true);
         let wants = node.cache.wants(self.now);
         node.cache.set_waiting(&self.workspace, false);
-        node.question += 1;
-        node.awaits = true;
+        node.request += 1;
+        node.is_waiting = true;
         for (_, want) in wants {
-            self.questions.push(Question {
+            self.requests.push(TokenRequest {
                 node: number,
-                number: node.question,
+                number: node.request,
                 want: Want {
                     needed: want.needed + 5,
                     ..want
                 },
-                asked: self.now,
+                requested: self.now,
             });
         }
     }
 
     fn arrive(&mut self, place: usize, twice: bool) {
-        if self.questions.is_empty() {
+        if self.requests.is_empty() {
             return;
         }
-        let place = place % self.questions.len();
-        let question = self.questions[place].clone();
+        let place = place % self.requests.len();
+        let request = self.requests[place].clone();
         if !twice {
-            self.questions.remove(place);
+            self.requests.remove(place);
         }
-        let holder = &self.nodes[question.node].holder;
-        let asked = (holder, question.number);
+        let holder = &self.nodes[request.node].holder;
+        let requested = (holder, request.number);
         let grant = self
             .allocator
-            .allocate(asked, &self.workspace, question.want, self.now);
-        self.answers
-            .push((question, grant.expect("it has a limit")));
+            .allocate(requested, &self.workspace, request.want, self.now);
+        self.grants.push((request, grant.expect("it has a limit")));
     }
 
     fn answer(&mut self, place: usize) {
-        if self.answers.is_empty() {
+        if self.grants.is_empty() {
             return;
         }
-        let place = place % self.answers.len();
-        let (question, grant) = self.answers.remove(place);
-        let node = &mut self.nodes[question.node];
-        // Only the answer to the last question counts, and only once.
-        if node.awaits && node.question == question.number {
-            node.awaits = false;
-            node.cache.receive(&self.workspace, grant, question.asked);
+        let place = place % self.grants.len();
+        let (request, grant) = self.grants.remove(place);
+        let node = &mut self.nodes[request.node];
+        // Only the grant for the last token request counts, and only once.
+        if node.is_waiting && node.request == request.number {
+            node.is_waiting = false;
+            node.cache
+                .receive(&self.workspace, grant, request.requested);
         }
     }
 
-    /// Lets a node ask and be answered at once.
+    /// Lets a node request tokens and receive the grant immediately.
     fn fetch(&mut self, node: usize) {
-        self.play(Step::Ask(node));
-        self.play(Step::Arrive(0, false));
-        self.play(Step::Answer(0));
+        self.apply(Step::Ask(node));
+        self.apply(Step::Arrive(0, false));
+        self.apply(Step::Answer(0));
     }
 
-    /// Returns the tokens that are somewhere: free, in caches, or in answers that would be taken.
+    /// Returns the total number of tokens: with the allocator, in caches, and in grants in flight that
+    /// would be accepted.
     fn tokens(&self) -> f64 {
         let held = self.nodes.iter();
         let held = held.map(|node| node.cache.held(&self.workspace, self.now));
-        let coming = self.answers.iter().filter(|(question, _)| {
-            let node = &self.nodes[question.node];
-            node.awaits && node.question == question.number
+        let coming = self.grants.iter().filter(|(request, _)| {
+            let node = &self.nodes[request.node];
+            node.is_waiting && node.request == request.number
         });
-        // Of answers to one question only one is taken.
+        // Only one grant for the same token request is accepted.
         let mut given = [0; NODES];
-        for (question, grant) in coming {
-            if self.now.since(question.asked) < Duration::from_secs(5) {
-                given[question.node] = grant.tokens.max(given[question.node]);
+        for (request, grant) in coming {
+            if self.now.since(request.requested) < Duration::from_secs(5) {
+                given[request.node] = grant.tokens.max(given[request.node]);
             }
         }
         let all = held.sum::<u32>() + given.iter().sum::<u32>();
         self.allocator.available(&self.workspace) + f64::from(all)
     }
 
-    /// Returns the most requests that ran in any window.
-    fn most(&self) -> usize {
-        let windows = self.ran.iter().enumerate().map(|(first, began)| {
+    /// Returns the maximum number of requests that ran in any window.
+    fn max_requests(&self) -> usize {
+        let windows = self.ran.iter().enumerate().map(|(first, first_ran)| {
             let within = self.ran[first..].iter();
             within
-                .take_while(|at| at.since(*began) < TOLERANCE.window)
+                .take_while(|at| at.since(*first_ran) < TOLERANCE.window)
                 .count()
         });
         windows.max().unwrap_or(0)
@@ -231,87 +233,93 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(3000))]
 
-    /// There are never more tokens than there is room for; beside those of a new allocator there may
-    /// be some of the one before. One change of allocators falls into a window.
+    /// The number of tokens never exceeds the capacity, to which that of a new allocator is added
+    /// while tokens of its predecessor may remain. At most one change of the allocator falls into a
+    /// window.
     #[test]
     fn limit_holds(steps in prop::collection::vec(step(), 1..250)) {
         let mut world = World::new();
-        let mut replaced = world.now;
-        let room = LIMIT.capacity(&TOLERANCE);
-        let young = LIMIT.startup_capacity(&TOLERANCE);
+        let mut last_replaced = world.now;
+        let capacity = LIMIT.capacity(&TOLERANCE);
+        let startup = LIMIT.startup_capacity(&TOLERANCE);
         for step in steps {
-            let since = world.now.since(replaced);
+            let since = world.now.since(last_replaced);
             if matches!(step, Step::Replace) {
-                if since < ALLOCATORS_APART {
+                if since < MIN_REPLACE_INTERVAL {
                     continue;
                 }
-                replaced = world.now;
+                last_replaced = world.now;
             }
-            world.play(step);
-            let is_alone = world.now.since(replaced) >= ALLOCATORS_APART;
-            let allowed = if is_alone { room } else { room + young };
+            world.apply(step);
+            let is_settled = world.now.since(last_replaced) >= MIN_REPLACE_INTERVAL;
+            let allowed = if is_settled { capacity } else { capacity + startup };
             prop_assert!(world.tokens() <= allowed + 1e-6, "{} tokens", world.tokens());
         }
-        prop_assert!(world.most() <= MOST, "{} ran", world.most());
+        prop_assert!(world.max_requests() <= MAX_REQUESTS, "{} ran", world.max_requests());
     }
 }
 
-/// Tokens that their nodes renew at each new allocator, before it knows of them, do not add up.
+/// Tokens do not accumulate when nodes renew them with each new allocator before it knows of all of
+/// them.
 #[test]
 fn renewed_tokens_counted() {
     let mut world = World::new();
     for node in 0..NODES {
-        world.play(Step::Requests(node, 1));
+        world.apply(Step::Requests(node, 1));
     }
     for first in 0..NODES {
-        // One node takes what the allocator gives while it has not heard of the others,
-        world.play(Step::Wait(1000));
+        // One node takes what the allocator grants before it has heard from the others.
+        world.apply(Step::Wait(1000));
         world.fetch(first);
         world.fetch(first);
-        // and all renew what they have until the next allocator comes.
+        // Then all nodes renew their tokens until the next allocator starts.
         for _ in 0..2 {
             (0..NODES).for_each(|node| world.fetch(node));
-            world.play(Step::Wait(2600));
+            world.apply(Step::Wait(2600));
         }
-        let room = LIMIT.capacity(&TOLERANCE);
-        assert!(world.tokens() <= room, "{} tokens", world.tokens());
+        let capacity = LIMIT.capacity(&TOLERANCE);
+        assert!(world.tokens() <= capacity, "{} tokens", world.tokens());
         (0..NODES).for_each(|node| world.fetch(node));
-        world.play(Step::Replace);
+        world.apply(Step::Replace);
     }
-    // All of it is used at once, and then whatever comes.
+    // All tokens are used at once, and new ones as they are granted.
     for _ in 0..50 {
         for node in 0..NODES {
-            world.play(Step::Requests(node, 40));
+            world.apply(Step::Requests(node, 40));
             world.fetch(node);
         }
-        world.play(Step::Wait(100));
+        world.apply(Step::Wait(100));
     }
-    assert!(world.most() <= MOST, "{} ran", world.most());
+    assert!(
+        world.max_requests() <= MAX_REQUESTS,
+        "{} ran",
+        world.max_requests()
+    );
 }
 
-/// A question that arrives twice has two answers; whichever is taken voids what is too much.
+/// A duplicated token request gets two grants, and both recall the tokens in excess.
 #[test]
 fn both_answers_recall() {
     let mut world = World::new();
-    world.play(Step::Requests(0, 1));
-    world.play(Step::Wait(100));
+    world.apply(Step::Requests(0, 1));
+    world.apply(Step::Wait(100));
     world.fetch(0);
-    world.play(Step::Wait(3000));
-    world.play(Step::Requests(1, 1));
-    world.play(Step::Requests(2, 1));
+    world.apply(Step::Wait(3000));
+    world.apply(Step::Requests(1, 1));
+    world.apply(Step::Requests(2, 1));
     world.fetch(1);
-    // This question is under way until the allocator no longer counts what its node has.
-    world.play(Step::Ask(0));
-    world.play(Step::Wait(3000));
+    // This token request is delayed until the allocator no longer counts the node's tokens.
+    world.apply(Step::Ask(0));
+    world.apply(Step::Wait(3000));
     for node in [2, 1] {
-        world.play(Step::Ask(node));
-        world.play(Step::Arrive(1, false));
-        world.play(Step::Answer(0));
+        world.apply(Step::Ask(node));
+        world.apply(Step::Arrive(1, false));
+        world.apply(Step::Answer(0));
     }
-    world.play(Step::Arrive(0, true));
-    world.play(Step::Arrive(0, false));
-    world.play(Step::Lose(0));
-    world.play(Step::Answer(0));
-    let room = LIMIT.capacity(&TOLERANCE);
-    assert!(world.tokens() <= room, "{} tokens", world.tokens());
+    world.apply(Step::Arrive(0, true));
+    world.apply(Step::Arrive(0, false));
+    world.apply(Step::Lose(0));
+    world.apply(Step::Answer(0));
+    let capacity = LIMIT.capacity(&TOLERANCE);
+    assert!(world.tokens() <= capacity, "{} tokens", world.tokens());
 }
