--- a/crates/quota/tests/whole_domains.rs
+++ b/crates/quota/tests/whole_domains.rs
@@ -1,4 +1,4 @@
-//! What lies within the limits is let in, and nothing beyond what may run.
+//! Requests within the limits are admitted, and the permitted excess is never exceeded.
 
 mod world;
 
@@ -7,86 +7,86 @@
 use rand::Rng as _;
 use world::{World, limits};
 
-/// The nodes of each failure domain.
+/// The number of nodes in each failure domain.
 const NODES: [usize; 3] = [25, 22, 21];
 
-fn anywhere(random: &mut rand::rngs::StdRng, nodes: usize) -> usize {
+fn any_node(random: &mut rand::rngs::StdRng, nodes: usize) -> usize {
     random.random_range(0..nodes)
 }
 
-/// 76 workspaces that ask three quarters of what they may, at 68 nodes.
+/// 76 workspaces at three quarters of their limits, on 68 nodes.
 #[test]
 fn calm_demand() {
     for seed in 0..3 {
         let mut world = World::new(limits(76, 330.0), &NODES, seed);
-        world.play(Duration::from_secs(20), |_| 0.75, anywhere);
-        let let_in = world.let_in();
-        println!("seed {seed}: {let_in:.4} let in");
+        world.run(Duration::from_secs(20), |_| 0.75, any_node);
+        let admitted = world.admitted();
+        println!("seed {seed}: {admitted:.4} admitted");
         world.check_bounds();
-        assert!(let_in >= 0.99, "seed {seed}: {let_in}");
+        assert!(admitted >= 0.99, "seed {seed}: {admitted}");
     }
 }
 
-/// Allocators are replaced one after the other under demand near the limits: each begins with the
-/// part that its domain had, and the demand of before.
+/// Allocators are replaced one after the other under demand near the limits. Each starts with the
+/// share of its domain and the demand that its predecessor measured.
 #[test]
 fn allocators_replaced() {
     let mut world = World::new(limits(76, 330.0), &NODES, 5);
-    world.play(Duration::from_secs(6), |_| 0.9, anywhere);
-    world.let_in();
+    world.run(Duration::from_secs(6), |_| 0.9, any_node);
+    world.admitted();
     for domain in [0, 1, 2, 0] {
         world.lose_allocator(domain);
-        // The next renewal brings another one.
-        world.play(Duration::from_millis(1500), |_| 0.9, anywhere);
-        world.let_in();
-        world.play(Duration::from_secs(3), |_| 0.9, anywhere);
-        let let_in = world.let_in();
-        println!("after domain {domain}: {let_in:.4} let in");
-        assert!(let_in >= 0.95, "after domain {domain}: {let_in}");
+        // A new allocator takes over at the next renewal.
+        world.run(Duration::from_millis(1500), |_| 0.9, any_node);
+        world.admitted();
+        world.run(Duration::from_secs(3), |_| 0.9, any_node);
+        let admitted = world.admitted();
+        println!("after domain {domain}: {admitted:.4} admitted");
+        assert!(admitted >= 0.95, "after domain {domain}: {admitted}");
     }
     world.check_bounds();
 }
 
-/// Demand moves from one domain to another, and the parts follow.
+/// Demand moves from all domains to one, and the shares follow.
 #[test]
 fn demand_moves() {
     let mut world = World::new(limits(76, 330.0), &NODES, 6);
-    world.play(Duration::from_secs(6), |_| 0.75, anywhere);
-    world.let_in();
-    let first = |random: &mut rand::rngs::StdRng, _: usize| random.random_range(0..NODES[0]);
-    world.play(Duration::from_secs(8), |_| 0.75, first);
-    let moving = world.let_in();
-    world.play(Duration::from_secs(6), |_| 0.75, first);
-    let settled = world.let_in();
-    println!("while it moves {moving:.4}, then {settled:.4} let in");
+    world.run(Duration::from_secs(6), |_| 0.75, any_node);
+    world.admitted();
+    let first_domain = |random: &mut rand::rngs::StdRng, _: usize| random.random_range(0..NODES[0]);
+    world.run(Duration::from_secs(8), |_| 0.75, first_domain);
+    let moving = world.admitted();
+    world.run(Duration::from_secs(6), |_| 0.75, first_domain);
+    let settled = world.admitted();
+    println!("while it moves {moving:.4}, then {settled:.4} admitted");
     world.check_bounds();
     assert!(settled >= 0.95, "{settled}");
 }
 
-/// One workspace asks for five times what it may, all others for three quarters: it gets what it
-/// may, and the others lose nothing.
+/// One workspace sends five times its limit, all others three quarters: it gets its limit, and the
+/// others are not affected.
 #[test]
 fn hot_workspace() {
     let mut world = World::new(limits(76, 330.0), &NODES, 7);
-    let hot = "w3".parse().expect("a sound name");
-    let share = |name: &sailtrack_units::WorkspaceName| if *name == hot { 5.0 } else { 0.75 };
-    world.play(Duration::from_secs(10), share, anywhere);
+    let hot = "w3".parse().expect("valid name");
+    let load_factor = |name: &sailtrack_units::WorkspaceName| if *name == hot { 5.0 } else { 0.75 };
+    world.run(Duration::from_secs(10), load_factor, any_node);
     world.check_bounds();
-    let ends = world.ends.remove(&hot).expect("it asked");
-    let served = f64::from(ends.asked - ends.refused);
-    let owed = world.limits[&hot].rate * 10.0;
-    assert!(served >= 0.95 * owed, "{served} of {owed}");
-    let others = world.let_in();
+    let outcome = world.outcomes.remove(&hot).expect("has sent requests");
+    let served = f64::from(outcome.sent - outcome.rejected);
+    let allowed = world.limits[&hot].rate * 10.0;
+    assert!(served >= 0.95 * allowed, "{served} of {allowed}");
+    let others = world.admitted();
     assert!(others >= 0.99, "{others}");
 }
 
-/// In each domain an allocator is lost again and again while all ask for twice what they may.
+/// The allocators of all domains are lost repeatedly while all workspaces send twice their limits.
 #[test]
 fn bound_under_loss() {
     let mut world = World::new(limits(30, 100.0), &[8, 8, 8], 8);
     for round in 0..12 {
         world.lose_allocator(round % 3);
-        world.play(Duration::from_millis(1700), |_| 2.0, anywhere);
+        world.run(Duration::from_millis(1700), |_| 2.0, any_node);
     }
     world.check_bounds();
 }
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -1,8 +1,8 @@
-//! Nodes of several failure domains that keep limits together, with drawn demand.
+//! Simulates nodes in several failure domains that enforce limits together under random demand.
 //!
-//! Messages take no time here; whole interleavings of them are in `interleavings.rs`.
+//! Messages take no time here; `interleavings.rs` tests their interleavings.
 
-#![allow(dead_code, reason = "each test uses its own part")]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -14,32 +14,33 @@
 };
 use sailtrack_units::{DomainName, Moment, WorkspaceName};
 
-/// How often nodes fetch ahead, and allocators renew their leases.
-const LOOK: Duration = Duration::from_millis(100);
-const RENEWAL: Duration = Duration::from_millis(1500);
-/// How long allocators work before the first request comes.
-pub const LEAD: Duration = Duration::from_secs(8);
+/// How often nodes prefetch tokens.
+const PREFETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// How often allocators renew their leases.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1500);
+/// How long the allocators run before the first request.
+pub const WARM_UP_TIME: Duration = Duration::from_secs(8);
 
-/// One node.
+/// A node with its cache.
 struct Node {
     domain: usize,
     holder: Holder,
     cache: Cache,
-    questions: u64,
+    requests: u64,
 }
 
-/// What became of the requests of one workspace.
+/// Counts what happened to the requests of one workspace.
 #[derive(Debug, Clone, Default)]
-pub struct Ends {
-    pub asked: u32,
-    pub refused: u32,
-    /// The requests let in during the present window,
+pub struct Outcome {
+    pub sent: u32,
+    pub rejected: u32,
+    /// When requests were admitted in the current window.
     window: VecDeque<Moment>,
-    /// and the most that there were in one.
-    pub most: usize,
+    /// The maximum number of requests admitted in any window.
+    pub max_per_window: usize,
 }
 
-/// A whole deployment.
+/// A simulated deployment.
 pub struct World {
     pub now: Moment,
     tolerance: Tolerance,
@@ -47,43 +48,43 @@
     nodes: Vec<Node>,
     allocators: Vec<Option<Allocator>>,
     shares: Shares,
-    pub ends: BTreeMap<WorkspaceName, Ends>,
-    looked: Duration,
-    renewed: Duration,
+    pub outcomes: BTreeMap<WorkspaceName, Outcome>,
+    since_prefetch: Duration,
+    since_renewal: Duration,
     random: StdRng,
 }
 
-/// The tolerance that these tests keep to.
+/// The tolerance used in these tests.
 pub const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(5),
     overage: 0.1,
     slack: 20.0,
 };
 
-/// Returns limits that fall off with the number of the workspace, as few large and many small
-/// customers have them.
+/// Returns limits that decrease with the number of the workspace, as for few large and many small
+/// customers.
 pub fn limits(count: u32, largest: f64) -> HashMap<WorkspaceName, Limit> {
     let limits = (0..count).map(|number| {
         let rate = (largest / f64::from(number + 1).powf(0.8)).round();
-        let name = format!("w{number}").parse().expect("a sound name");
+        let name = format!("w{number}").parse().expect("valid name");
         (name, Limit { rate, burst: rate })
     });
     limits.collect()
 }
 
 impl World {
-    /// Returns a deployment whose domains have so many nodes each.
+    /// Creates a deployment with the given number of nodes in each domain.
     pub fn new(limits: HashMap<WorkspaceName, Limit>, nodes: &[usize], seed: u64) -> Self {
         let now = Moment::since_boot(Duration::from_secs(100));
         let members = nodes.iter().enumerate().flat_map(|(domain, count)| {
             (0..*count).map(move |number| Node {
                 domain,
                 holder: Holder {
-                    node: format!("n{domain}-{number}").parse().expect("a sound name"),
+                    node: format!("n{domain}-{number}").parse().expect("valid name"),
                     incarnation: 1,
                 },
                 cache: Cache::default(),
-                questions: 0,
+                requests: 0,
             })
         });
         let mut world = Self {
@@ -92,39 +93,39 @@
             nodes: members.collect(),
             allocators: nodes.iter().map(|_| None).collect(),
             shares: Shares::default(),
-            ends: limits
+            outcomes: limits
                 .keys()
-                .map(|name| (name.clone(), Ends::default()))
+                .map(|name| (name.clone(), Outcome::default()))
                 .collect(),
             limits,
-            looked: Duration::ZERO,
-            renewed: Duration::ZERO,
+            since_prefetch: Duration::ZERO,
+            since_renewal: Duration::ZERO,
             random: StdRng::seed_from_u64(seed),
         };
         for domain in 0..nodes.len() {
             world.renew(domain);
         }
-        world.advance(LEAD);
+        world.advance(WARM_UP_TIME);
         world
     }
 
     /// Returns the name of a domain.
     pub fn domain(number: usize) -> DomainName {
-        format!("d{number}").parse().expect("a sound name")
+        format!("d{number}").parse().expect("valid name")
     }
 
-    /// Plays a time in which each workspace asks for this share of its rate at a node drawn by
-    /// `place`.
-    pub fn play(
+    /// Simulates a period in which each workspace sends requests at its rate times `load_factor`, each
+    /// to a node chosen by `place`.
+    pub fn run(
         &mut self,
         time: Duration,
-        share: impl Fn(&WorkspaceName) -> f64,
+        load_factor: impl Fn(&WorkspaceName) -> f64,
         place: impl Fn(&mut StdRng, usize) -> usize,
     ) {
         let rates: Vec<(WorkspaceName, f64)> = self
             .limits
             .iter()
-            .map(|(name, limit)| (name.clone(), limit.rate * share(name)))
+            .map(|(name, limit)| (name.clone(), limit.rate * load_factor(name)))
             .collect();
         let end = self.now + time;
         let mut arrivals = Vec::new();
@@ -148,7 +149,7 @@
         self.advance(end.since(self.now));
     }
 
-    /// Lets a request come to a node.
+    /// Sends one request to a node.
     pub fn request(&mut self, node: usize, name: &WorkspaceName) {
         let now = self.now;
         let mut taken = self.nodes[node].cache.acquire(name, now);
@@ -159,47 +160,53 @@
             self.nodes[node].cache.set_waiting(name, false);
         }
         let window = self.tolerance.window;
-        let ends = self.ends.get_mut(name).expect("the workspace is known");
-        ends.asked += 1;
+        let outcome = self.outcomes.get_mut(name).expect("known workspace");
+        outcome.sent += 1;
         if taken != Acquisition::Token {
-            ends.refused += 1;
+            outcome.rejected += 1;
             return;
         }
-        ends.window.push_back(now);
-        while ends
+        outcome.window.push_back(now);
+        while outcome
             .window
             .front()
             .is_some_and(|first| now.since(*first) >= window)
         {
-            ends.window.pop_front();
+            outcome.window.pop_front();
         }
-        ends.most = ends.most.max(ends.window.len());
+        outcome.max_per_window = outcome.max_per_window.max(outcome.window.len());
     }
 
-    /// Returns the share of all requests that were let in since the last call.
-    pub fn let_in(&mut self) -> f64 {
-        let (asked, refused) = self.ends.values().fold((0, 0), |(asked, refused), ends| {
-            (asked + ends.asked, refused + ends.refused)
-        });
-        for ends in self.ends.values_mut() {
-            (ends.asked, ends.refused) = (0, 0);
+    /// Returns the fraction of all requests that were admitted since the last call.
+    pub fn admitted(&mut self) -> f64 {
+        let (sent, rejected) = self
+            .outcomes
+            .values()
+            .fold((0, 0), |(sent, rejected), outcome| {
+                (sent + outcome.sent, rejected + outcome.rejected)
+            });
+        for outcome in self.outcomes.values_mut() {
+            (outcome.sent, outcome.rejected) = (0, 0);
         }
-        1.0 - f64::from(refused) / f64::from(asked)
+        1.0 - f64::from(rejected) / f64::from(sent)
     }
 
-    /// Checks that no workspace ran more in any window than it may.
+    /// Checks that no workspace exceeded its limit by more than the tolerance in any window.
     pub fn check_bounds(&self) {
-        for (name, ends) in &self.ends {
+        for (name, outcome) in &self.outcomes {
             let limit = self.limits[name];
             let allowed = limit.rate * self.tolerance.window.as_secs_f64() + limit.burst;
             let allowed = allowed * (1.0 + self.tolerance.overage) + self.tolerance.slack;
-            #[allow(clippy::cast_precision_loss, reason = "requests of seconds")]
-            let most = ends.most as f64;
-            assert!(most <= allowed, "{name}: {most} ran, {allowed} are allowed");
+            #[allow(clippy::cast_precision_loss, reason = "few requests")]
+            let max_per_window = outcome.max_per_window as f64;
+            assert!(
+                max_per_window <= allowed,
+                "{name}: {max_per_window} ran, {allowed} are allowed"
+            );
         }
     }
 
-    /// Ends the allocator of a domain; another node takes its place with the next renewal.
+    /// Removes the allocator of a domain; a new one takes over at the next renewal.
     pub fn lose_allocator(&mut self, domain: usize) {
         self.allocators[domain] = None;
         let name = Self::domain(domain);
@@ -211,22 +218,22 @@
     fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
-            let look = LOOK.saturating_sub(self.looked);
+            let step = PREFETCH_INTERVAL.saturating_sub(self.since_prefetch);
             let left = end.since(self.now);
-            if look > left {
-                self.looked += left;
-                self.renewed += left;
+            if step > left {
+                self.since_prefetch += left;
+                self.since_renewal += left;
                 self.now = end;
                 return;
             }
-            self.now = self.now + look;
-            self.looked = Duration::ZERO;
-            self.renewed += look;
+            self.now = self.now + step;
+            self.since_prefetch = Duration::ZERO;
+            self.since_renewal += step;
             for node in 0..self.nodes.len() {
                 self.ask(node);
             }
-            if self.renewed >= RENEWAL {
-                self.renewed = Duration::ZERO;
+            if self.since_renewal >= RENEWAL_INTERVAL {
+                self.since_renewal = Duration::ZERO;
                 for domain in 0..self.allocators.len() {
                     self.renew(domain);
                 }
@@ -241,9 +248,9 @@
         let Some(allocator) = self.allocators[node.domain].as_mut() else {
             return;
         };
-        node.questions += 1;
+        node.requests += 1;
         for (name, want) in wants {
-            let grant = allocator.allocate((&node.holder, node.questions), &name, want, now);
+            let grant = allocator.allocate((&node.holder, node.requests), &name, want, now);
             if let Some(grant) = grant {
                 node.cache.receive(&name, grant, now);
             }
@@ -260,7 +267,7 @@
             .unwrap_or_default();
         let claim = Claim {
             domain: name.clone(),
-            node: first.expect("each domain has a node").holder.node.clone(),
+            node: first.expect("non-empty domain").holder.node.clone(),
             incarnation: 1,
             is_new: self.allocators[domain].is_none(),
             domain_count: self.allocators.len(),
@@ -276,7 +283,7 @@
             at_most_ms: millis,
         };
         let lease = self.shares.claim(&claim, clock, |_| false);
-        lease.expect("nobody else wants it");
+        lease.expect("no other claimant");
         if self.allocators[domain].is_none() {
             let mut allocator = Allocator::new(self.tolerance, now);
             allocator.set_limits(&self.limits, now);
@@ -285,7 +292,7 @@
             }
             self.allocators[domain] = Some(allocator);
         }
-        let allocator = self.allocators[domain].as_mut().expect("it is there");
+        let allocator = self.allocators[domain].as_mut().expect("just set");
         for workspace in self.limits.keys() {
             allocator.set_share(workspace, self.shares.share(&name, workspace), now);
         }
@@ -294,5 +301,5 @@
 
 fn millis(moment: Moment) -> u64 {
     let time = moment.since(Moment::default());
-    u64::try_from(time.as_millis()).expect("a time of seconds")
+    u64::try_from(time.as_millis()).expect("time fits")
 }
