--- a/crates/quarantine/tests/verdicts.rs
+++ b/crates/quarantine/tests/verdicts.rs
@@ -263,7 +263,7 @@
 
 /// A request that succeeded recently needs two more crashes, since many callers may send it.
 #[test]
-fn familiar() {
+fn recent_success() {
     let mut ledger = Ledger::default();
     let popular = identity("popular");
     ledger.record_success(&popular, START);
@@ -283,7 +283,7 @@
 
 /// A success counts for one minute only.
 #[test]
-fn no_more_familiar() {
+fn expired_success() {
     let mut ledger = Ledger::default();
     let once = identity("once");
     ledger.record_success(&once, START);
