--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -158,7 +158,7 @@
         if sequence <= account.sequence {
             return Some(Grant {
                 tokens: 0,
-                // This may be the only answer to that request that arrives.
+                // Repeats the recall in case the first grant for this request is lost.
                 recalled: account.recalled,
                 wait: MIN_WAIT,
             });
--- a/crates/quota/src/cache.rs
+++ b/crates/quota/src/cache.rs
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Returns the token of a request that did not run.
+    /// Puts back the token of a request that did not run.
     pub fn refund(&mut self, workspace: &WorkspaceName) {
         if let Some(bucket) = self.buckets.get_mut(workspace) {
             bucket.held += 1;
--- a/crates/quota/src/shares.rs
+++ b/crates/quota/src/shares.rs
@@ -21,7 +21,7 @@
 pub const LEASE_GRACE: Duration = TOKEN_LIFETIME.saturating_add(Duration::from_secs(1));
 /// Smoothing term in requests per second that is added to the demand of a workspace, divided among
 /// the domains like the demand of all workspaces. With few requests, their distribution is
-/// mostly chance, and a domain without recent demand needs tokens for the first requests.
+/// mostly chance, and a domain where a workspace was idle needs tokens for its first requests.
 const SMOOTHING_DEMAND: f64 = 3.0;
 /// A share is lowered if it exceeds its target by this factor, so that it does not follow every
 /// fluctuation.
@@ -277,7 +277,7 @@
         (next * RESOLUTION).floor() / RESOLUTION
     }
 
-    /// Returns the share that corresponds to the domain's part of the demand for the workspace.
+    /// Returns the share that corresponds to the domain's fraction of the workspace's demand.
     fn target_share(&self, claim: &Claim, workspace: &WorkspaceName) -> f64 {
         let own = claim.demand.get(workspace).copied().unwrap_or(0.0);
         let others = self.others(claim);
