--- a/crates/admission/src/breaker.rs
+++ b/crates/admission/src/breaker.rs
@@ -55,9 +55,9 @@
     }
 
     /// Notes that a request of the kind ended, and whether for want of an upstream further down.
-    pub(crate) fn note(&self, kind: &KindName, now: Instant, found_nobody: bool) {
+    pub(crate) fn record(&self, kind: &KindName, now: Instant, no_upstream: bool) {
         let mut paths = self.paths.borrow_mut();
-        if !found_nobody {
+        if !no_upstream {
             paths.remove(kind);
             return;
         }
--- a/crates/admission/src/breaker/tests.rs
+++ b/crates/admission/src/breaker/tests.rs
@@ -15,7 +15,7 @@
     let breaker = Breaker::default();
     for _ in 0..ENDS_TO_TRIP {
         assert!(breaker.lets_in(&kind(), now));
-        breaker.note(&kind(), now, true);
+        breaker.record(&kind(), now, true);
     }
     breaker
 }
@@ -25,10 +25,10 @@
     let (breaker, now) = (Breaker::default(), Instant::now());
     for _ in 0..10 {
         for _ in 1..ENDS_TO_TRIP {
-            breaker.note(&kind(), now, true);
+            breaker.record(&kind(), now, true);
         }
         assert!(breaker.lets_in(&kind(), now));
-        breaker.note(&kind(), now, false);
+        breaker.record(&kind(), now, false);
     }
 }
 
@@ -40,7 +40,7 @@
     let later = now + TRIAL_PAUSE;
     assert!(breaker.lets_in(&kind(), later), "a trial");
     assert!(!breaker.lets_in(&kind(), later), "one only");
-    breaker.note(&kind(), later + Duration::from_millis(20), true);
+    breaker.record(&kind(), later + Duration::from_millis(20), true);
     assert!(!breaker.lets_in(&kind(), later + Duration::from_millis(30)));
     assert!(breaker.lets_in(&kind(), later + TRIAL_PAUSE));
 }
@@ -50,7 +50,7 @@
 fn path_is_back() {
     let now = Instant::now();
     let breaker = tripped(now);
-    breaker.note(&kind(), now, false);
+    breaker.record(&kind(), now, false);
     for _ in 0..100 {
         assert!(breaker.lets_in(&kind(), now));
     }
--- a/crates/admission/src/rules.rs
+++ b/crates/admission/src/config.rs
@@ -35,7 +35,7 @@
 
 /// What operators set about admission.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct Config {
     /// How the node decides.
     pub policy: Policy,
     /// The limit of the fixed policy.
@@ -43,7 +43,7 @@
     /// The longest time that a call waits for admission.
     pub queue_time: Period,
     /// The same for a call that belongs to a request in progress, of which work would be lost.
-    pub begun_queue_time: Period,
+    pub nested_queue_time: Period,
     /// How long a new upstream is ramped up.
     pub warm_up: Period,
 }
--- a/crates/admission/src/level.rs
+++ b/crates/admission/src/level.rs
@@ -63,18 +63,18 @@
     }
 
     /// Notes a call that arrived.
-    pub(crate) fn note_arrival(&mut self, now: Instant, rank: Rank) {
+    pub(crate) fn record_arrival(&mut self, now: Instant, rank: Rank) {
         self.adjust(now);
         self.arrivals[usize::from(rank.index())] += 1;
     }
 
     /// Notes a call that found the limit reached.
-    pub(crate) fn note_reached(&mut self) {
+    pub(crate) fn record_saturation(&mut self) {
         self.reached = true;
     }
 
     /// Notes a call that was refused for overload.
-    pub(crate) fn note_refused(&mut self) {
+    pub(crate) fn record_refusal(&mut self) {
         self.refused += 1;
     }
 
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,15 +1,15 @@
 //! Decides which calls the own upstream gets, and when.
 
 mod breaker;
+mod config;
 mod level;
 mod limit;
-mod outset;
 mod pressure;
 mod queue;
 mod returns;
-mod rules;
 #[cfg(test)]
 mod tests;
+mod throttle;
 mod window;
 
 use std::cell::{Cell, RefCell};
@@ -29,10 +29,10 @@
 use queue::{Place, Queue, Verdict};
 use returns::Returns;
 
-pub use outset::{Hold, Met, Outset, Place as OutsetPlace};
+pub use config::{Config, Policy, PolicyError};
 pub use pressure::Pressure;
-pub use rules::{Policy, PolicyError, Rules};
-pub use window::{Place as WindowPlace, Windows};
+pub use throttle::{Feedback, Permit as ThrottlePermit, Rejection, Throttle};
+pub use window::{Permit as WindowPermit, Windows};
 
 /// The weight of the newest sample in the average of the upstream's own time.
 const NEWEST_WEIGHT: f64 = 0.05;
@@ -55,7 +55,7 @@
 
 /// Who may enter the own upstream.
 pub struct Admission {
-    rules: Rules,
+    config: Config,
     clock: Clock,
     state: RefCell<State>,
     in_flight: Cell<usize>,
@@ -67,7 +67,7 @@
     queue: Queue,
     level: Level,
     returns: Returns,
-    own_time: Option<f64>,
+    self_time: Option<f64>,
     /// When a call came last that was made for a request further up.
     called: Option<Instant>,
     shedding: bool,
@@ -81,15 +81,15 @@
 impl Admission {
     /// Returns an admission that knows nothing of its upstream yet.
     #[must_use]
-    pub fn new(rules: Rules, now: Instant) -> Self {
-        Self::with_clock(rules, Instant::now, now)
+    pub fn new(config: Config, now: Instant) -> Self {
+        Self::with_clock(config, Instant::now, now)
     }
 
     /// Returns the same under a clock that is not that of the machine.
     #[must_use]
-    pub fn with_clock(rules: Rules, clock: Clock, now: Instant) -> Self {
+    pub fn with_clock(config: Config, clock: Clock, now: Instant) -> Self {
         Self {
-            rules,
+            config,
             clock,
             state: RefCell::new(State {
                 limit: Limit::new(now, None),
@@ -97,7 +97,7 @@
                 queue: Queue::default(),
                 level: Level::new(now),
                 returns: Returns::new(now),
-                own_time: None,
+                self_time: None,
                 called: None,
                 shedding: false,
                 logged_limit: 0,
@@ -110,8 +110,8 @@
     pub fn reset(&self, now: Instant, slots: Option<u32>) {
         let mut state = self.state.borrow_mut();
         state.limit = Limit::new(now, slots);
-        state.limit.ramp_up(now, self.rules.warm_up.0);
-        state.own_time = None;
+        state.limit.ramp_up(now, self.config.warm_up.0);
+        state.self_time = None;
     }
 
     /// Puts the limit into force that operators declared.
@@ -122,10 +122,10 @@
     /// Returns how many calls may be in the upstream at once.
     pub fn limit(&self, now: Instant) -> usize {
         let state = self.state.borrow();
-        match (self.rules.policy, state.declared) {
+        match (self.config.policy, state.declared) {
             (Policy::Forward, _) => usize::MAX,
             (_, DeclaredLimit::Fixed(limit)) => limit as usize,
-            (Policy::Fixed, DeclaredLimit::Auto) => self.rules.fixed_limit as usize,
+            (Policy::Fixed, DeclaredLimit::Auto) => self.config.fixed_limit as usize,
             (Policy::Adaptive, DeclaredLimit::Auto) => state.limit.allowed(now),
         }
     }
@@ -136,7 +136,7 @@
     }
 
     /// Returns true if the upstream is at most half full.
-    pub fn is_light(&self, now: Instant) -> bool {
+    pub fn is_lightly_loaded(&self, now: Instant) -> bool {
         self.in_flight() <= self.limit(now) / 2
     }
 
@@ -167,22 +167,22 @@
 
     /// Returns the rank that is admitted at present.
     pub fn level(&self, now: Instant) -> Rank {
-        if self.rules.policy != Policy::Adaptive {
+        if self.config.policy != Policy::Adaptive {
             return Rank::LOWEST;
         }
         self.state.borrow_mut().level.current(now)
     }
 
     /// Returns the time that the upstream itself takes for a call, on average.
-    pub fn own_time(&self) -> Duration {
-        let seconds = self.state.borrow().own_time.unwrap_or_default();
+    pub fn self_time(&self) -> Duration {
+        let seconds = self.state.borrow().self_time.unwrap_or_default();
         Duration::from_secs_f64(seconds)
     }
 
     /// Returns over how much time the returns of refused callers are spread.
     ///
     /// It grows with the number of calls refused for each one admitted.
-    pub fn return_spread(&self, now: Instant) -> Duration {
+    pub fn retry_spread(&self, now: Instant) -> Duration {
         let share = self.state.borrow_mut().returns.refused_per_admitted(now);
         SPREAD_UNIT
             .mul_f64(share)
@@ -197,68 +197,68 @@
         time_left: Duration,
     ) -> Result<Permit, Reason> {
         let class = rank.importance().into();
-        self.enter_as(class, rank, begun, time_left).await
+        self.enter_in_class(class, rank, begun, time_left).await
     }
 
     /// Waits for admission in a class of its own, where workspaces decide before kinds.
-    pub async fn enter_as(
+    pub async fn enter_in_class(
         self: &Rc<Self>,
         class: Class,
         rank: Rank,
         begun: bool,
         time_left: Duration,
     ) -> Result<Permit, Reason> {
-        match self.arrive_as((class, rank), begun, time_left) {
-            Arrival::Admitted(permit) => Ok(permit),
-            Arrival::Refused(reason) => Err(reason),
-            Arrival::Waiting(mut waiting) => {
-                let verdict = timeout(waiting.longest, &mut waiting.verdict).await;
+        match self.submit_in_class((class, rank), begun, time_left) {
+            Decision::Admitted(permit) => Ok(permit),
+            Decision::Refused(reason) => Err(reason),
+            Decision::Waiting(mut waiting) => {
+                let verdict = timeout(waiting.max_wait, &mut waiting.verdict).await;
                 waiting.conclude(verdict.ok().and_then(Result::ok))
             }
         }
     }
 
     /// Decides about a call at once: it may run, has to wait, or is refused.
-    pub fn arrive(self: &Rc<Self>, rank: Rank, begun: bool, time_left: Duration) -> Arrival {
-        self.arrive_as((rank.importance().into(), rank), begun, time_left)
+    pub fn submit(self: &Rc<Self>, rank: Rank, begun: bool, time_left: Duration) -> Decision {
+        self.submit_in_class((rank.importance().into(), rank), begun, time_left)
     }
 
-    fn arrive_as(
+    fn submit_in_class(
         self: &Rc<Self>,
         place: (Class, Rank),
         begun: bool,
         time_left: Duration,
-    ) -> Arrival {
+    ) -> Decision {
         let now = (self.clock)();
         let limit = self.limit(now);
         if begun {
             self.state.borrow_mut().called = Some(now);
         }
-        if self.rules.policy == Policy::Adaptive {
-            self.state.borrow_mut().level.note_arrival(now, place.1);
+        if self.config.policy == Policy::Adaptive {
+            self.state.borrow_mut().level.record_arrival(now, place.1);
         }
         if self.in_flight() < limit && self.waiting() == 0 {
-            self.note_entry(true);
-            return Arrival::Admitted(self.permit());
+            self.record_decision(true);
+            return Decision::Admitted(self.permit());
         }
-        self.note_reached();
-        let waiting = match self.rules.policy {
+        self.record_saturation();
+        let waiting = match self.config.policy {
             Policy::Adaptive => self.wait(place, begun, limit, time_left),
             Policy::Forward | Policy::Fixed => Err(Reason::Overload),
         };
         match waiting {
-            Ok(waiting) => Arrival::Waiting(waiting),
+            Ok(waiting) => Decision::Waiting(waiting),
             Err(reason) => {
-                self.note_entry(false);
-                Arrival::Refused(reason)
+                self.record_decision(false);
+                Decision::Refused(reason)
             }
         }
     }
 
-    fn note_reached(&self) {
+    fn record_saturation(&self) {
         let mut state = self.state.borrow_mut();
-        state.limit.note_reached();
-        state.level.note_reached();
+        state.limit.record_saturation();
+        state.level.record_saturation();
     }
 
     fn wait(
@@ -268,8 +268,8 @@
         limit: usize,
         time_left: Duration,
     ) -> Result<Waiting, Reason> {
-        let longest = self.longest_wait(begun, time_left)?;
-        let capacity = self.queue_capacity(limit, longest);
+        let max_wait = self.max_wait(begun, time_left)?;
+        let capacity = self.queue_capacity(limit, max_wait);
         let entered = self.state.borrow_mut().queue.push(place, begun, capacity);
         let Some((place, verdict)) = entered else {
             return Err(Reason::Overload);
@@ -278,7 +278,7 @@
             admission: Rc::clone(self),
             place,
             verdict,
-            longest,
+            max_wait,
         })
     }
 
@@ -286,23 +286,23 @@
     ///
     /// Refusing a call that belongs to a request in progress throws away what was
     /// done for it, so such a call waits longer.
-    fn longest_wait(&self, begun: bool, time_left: Duration) -> Result<Duration, Reason> {
-        let spare = time_left.saturating_sub(self.own_time());
+    fn max_wait(&self, begun: bool, time_left: Duration) -> Result<Duration, Reason> {
+        let spare = time_left.saturating_sub(self.self_time());
         if spare.is_zero() {
             return Err(Reason::Deadline);
         }
-        let longest = if begun {
-            self.rules.begun_queue_time.0
+        let max_wait = if begun {
+            self.config.nested_queue_time.0
         } else {
-            self.rules.queue_time.0
+            self.config.queue_time.0
         };
-        Ok((spare / 2).min(longest))
+        Ok((spare / 2).min(max_wait))
     }
 
     /// Returns how many calls can be served in the longest time that one waits.
-    fn queue_capacity(&self, limit: usize, longest: Duration) -> usize {
-        let own_time = self.own_time().as_secs_f64().max(SHORTEST_OWN_TIME);
-        let turns = longest.as_secs_f64() / own_time;
+    fn queue_capacity(&self, limit: usize, max_wait: Duration) -> usize {
+        let self_time = self.self_time().as_secs_f64().max(SHORTEST_OWN_TIME);
+        let turns = max_wait.as_secs_f64() / self_time;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let turns = turns.ceil() as usize;
         limit.saturating_mul(turns).clamp(MIN_QUEUE, MAX_QUEUE)
@@ -319,14 +319,14 @@
         }
     }
 
-    fn note_entry(&self, admitted: bool) {
+    fn record_decision(&self, admitted: bool) {
         let mut state = self.state.borrow_mut();
         let now = (self.clock)();
-        state.returns.note(now, admitted);
+        state.returns.record(now, admitted);
         if admitted {
             return;
         }
-        state.level.note_refused();
+        state.level.record_refusal();
         if !state.shedding {
             state.shedding = true;
             let level = state.level.current(now);
@@ -337,19 +337,27 @@
     /// Notes a call that the upstream completed in `own_time` of its own.
     ///
     /// `light` says that it found the upstream at most half full.
-    pub fn note_completed(&self, now: Instant, kind: &KindName, own_time: Duration, light: bool) {
+    pub fn record_completion(
+        &self,
+        now: Instant,
+        kind: &KindName,
+        self_time: Duration,
+        lightly_loaded: bool,
+    ) {
         let mut state = self.state.borrow_mut();
-        state.limit.note_completed(now, kind, own_time, light);
-        let sample = own_time.as_secs_f64();
-        let average = state.own_time.unwrap_or(sample);
-        state.own_time = Some(average + (sample - average) * NEWEST_WEIGHT);
+        state
+            .limit
+            .record_completion(now, kind, self_time, lightly_loaded);
+        let sample = self_time.as_secs_f64();
+        let average = state.self_time.unwrap_or(sample);
+        state.self_time = Some(average + (sample - average) * NEWEST_WEIGHT);
         state.log_changes(now);
     }
 
     /// Notes that the upstream shed a call.
-    pub fn note_shed(&self, now: Instant) {
+    pub fn record_shed(&self, now: Instant) {
         let in_flight = self.in_flight();
-        self.state.borrow_mut().limit.note_shed(now, in_flight);
+        self.state.borrow_mut().limit.record_shed(now, in_flight);
     }
 
     /// Lets waiting calls in as far as the limit allows; each takes its place at once.
@@ -399,7 +407,7 @@
 }
 
 /// What is decided about a call when it asks for admission.
-pub enum Arrival {
+pub enum Decision {
     /// It may run.
     Admitted(Permit),
     /// It waits for a place.
@@ -413,14 +421,14 @@
     admission: Rc<Admission>,
     place: Place,
     verdict: oneshot::Receiver<Verdict>,
-    longest: Duration,
+    max_wait: Duration,
 }
 
 impl Waiting {
     /// Returns how long it waits at most.
     #[must_use]
-    pub fn longest(&self) -> Duration {
-        self.longest
+    pub fn max_wait(&self) -> Duration {
+        self.max_wait
     }
 
     /// Returns true once it is decided about.
@@ -441,7 +449,7 @@
 
     fn conclude(&self, verdict: Option<Verdict>) -> Result<Permit, Reason> {
         let is_admitted = verdict == Some(Verdict::Admitted);
-        self.admission.note_entry(is_admitted);
+        self.admission.record_decision(is_admitted);
         if is_admitted {
             Ok(self.admission.take_reserved())
         } else {
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -53,12 +53,12 @@
 
 impl Baseline {
     /// Takes in the time of a call; the first ones count whatever the load.
-    fn follow(&mut self, own_time: f64, light: bool) {
+    fn follow(&mut self, self_time: f64, lightly_loaded: bool) {
         self.samples = self.samples.saturating_add(1);
         let first = self.samples <= FIRST_SAMPLES;
-        if first || light {
+        if first || lightly_loaded {
             let weight = (1.0 / f64::from(self.samples)).max(LIGHT_WEIGHT);
-            self.mean += (own_time - self.mean) * weight;
+            self.mean += (self_time - self.mean) * weight;
         }
     }
 }
@@ -169,22 +169,22 @@
     }
 
     /// Notes that the limit kept a call waiting.
-    pub(crate) fn note_reached(&mut self) {
+    pub(crate) fn record_saturation(&mut self) {
         self.window.reached = true;
     }
 
     /// Notes a completed call and the time that the upstream itself took for it.
     ///
     /// `light` says that it found the upstream at most half full.
-    pub(crate) fn note_completed(
+    pub(crate) fn record_completion(
         &mut self,
         now: Instant,
         kind: &KindName,
-        own_time: Duration,
-        light: bool,
+        self_time: Duration,
+        lightly_loaded: bool,
     ) {
         self.window.completed += 1;
-        self.window.slowness += self.slowness(kind, own_time.as_secs_f64(), light);
+        self.window.slowness += self.slowness(kind, self_time.as_secs_f64(), lightly_loaded);
         if self.window.is_over(now) {
             let window = std::mem::replace(&mut self.window, Window::open(now));
             self.judge(now, &window);
@@ -192,7 +192,7 @@
     }
 
     /// Notes that the upstream shed a call while `in_flight` calls were in it.
-    pub(crate) fn note_shed(&mut self, now: Instant, in_flight: usize) {
+    pub(crate) fn record_shed(&mut self, now: Instant, in_flight: usize) {
         #[allow(clippy::cast_precision_loss)]
         let in_flight = in_flight as f64;
         self.current = self.current.min(in_flight * SHED_SHARE).max(FLOOR);
@@ -211,11 +211,11 @@
 
     /// Returns how many times slower than its baseline a call was; a call under light load
     /// also moves the baseline.
-    fn slowness(&mut self, kind: &KindName, own_time: f64, light: bool) -> f64 {
-        let own_time = own_time.max(SHORTEST_TIME);
+    fn slowness(&mut self, kind: &KindName, self_time: f64, lightly_loaded: bool) -> f64 {
+        let self_time = self_time.max(SHORTEST_TIME);
         let baseline = self.baselines.entry(kind.clone()).or_default();
-        baseline.follow(own_time, light);
-        own_time / baseline.mean
+        baseline.follow(self_time, lightly_loaded);
+        self_time / baseline.mean
     }
 
     fn judge(&mut self, now: Instant, window: &Window) {
--- a/crates/admission/src/pressure.rs
+++ b/crates/admission/src/pressure.rs
@@ -24,11 +24,11 @@
     pub const FULL: Self = Self(1.0);
 
     /// The least pressure that a refusal for overload stands for.
-    pub const REFUSING: Self = Self(2.0);
+    pub const OVERLOADED: Self = Self(2.0);
 
     /// Returns the greater of two pressures.
     #[must_use]
-    pub fn greater(self, other: Self) -> Self {
+    pub fn max(self, other: Self) -> Self {
         Self(self.0.max(other.0))
     }
 
@@ -61,7 +61,7 @@
 
     /// Returns what is left of a pressure that was heard of at `heard`.
     #[must_use]
-    pub fn faded(self, heard: Instant, now: Instant) -> Self {
+    pub fn decayed(self, heard: Instant, now: Instant) -> Self {
         let age = now.saturating_duration_since(heard).saturating_sub(HOLD);
         let halvings = age.as_secs_f64() / HALF_LIFE.as_secs_f64();
         Self(self.0 * 0.5f64.powf(halvings))
--- a/crates/admission/src/returns.rs
+++ b/crates/admission/src/returns.rs
@@ -23,7 +23,7 @@
     }
 
     /// Notes one call that was admitted or refused.
-    pub(crate) fn note(&mut self, now: Instant, admitted: bool) {
+    pub(crate) fn record(&mut self, now: Instant, admitted: bool) {
         self.fade(now);
         if admitted {
             self.admitted += 1.0;
--- a/crates/admission/src/tests.rs
+++ b/crates/admission/src/tests.rs
@@ -33,10 +33,10 @@
         if level.current(*now) > rank {
             continue;
         }
-        level.note_arrival(*now, rank);
+        level.record_arrival(*now, rank);
         if index < fits {
-            level.note_reached();
-            level.note_refused();
+            level.record_saturation();
+            level.record_refusal();
         }
     }
     *now += Duration::from_millis(100);
@@ -106,9 +106,9 @@
         let allowed = limit.allowed(*now);
         #[allow(clippy::cast_precision_loss)]
         let waiting = (allowed as f64 / slots as f64).max(1.0);
-        limit.note_reached();
+        limit.record_saturation();
         for _ in 0..allowed.min(slots) {
-            limit.note_completed(*now, &kind(), time.mul_f64(waiting), false);
+            limit.record_completion(*now, &kind(), time.mul_f64(waiting), false);
         }
         *now += time;
     }
@@ -119,7 +119,7 @@
     let mut now = Instant::now();
     let mut limit = Limit::new(now, Some(100));
     for _ in 0..100 {
-        limit.note_completed(now, &kind(), STEP * 10, true);
+        limit.record_completion(now, &kind(), STEP * 10, true);
         now += STEP;
     }
     run(&mut limit, &mut now, 10, 60.0, STEP * 10);
@@ -141,7 +141,7 @@
 fn shed_lowers_limit() {
     let now = Instant::now();
     let mut limit = Limit::new(now, Some(40));
-    limit.note_shed(now, 20);
+    limit.record_shed(now, 20);
     assert_eq!(limit.allowed(now), 19);
 }
 
@@ -160,12 +160,12 @@
     let mut entered = 0;
     for _ in 0..rounds {
         let places: Vec<_> = (0..8)
-            .filter_map(|_| windows.enter(&kind(), *now))
+            .filter_map(|_| windows.acquire(&kind(), *now))
             .collect();
         entered = places.len();
         *now += STEP * 100;
         for place in &places {
-            place.note(*now, Pressure(pressure));
+            place.record(*now, Pressure(pressure));
         }
     }
     entered
@@ -202,7 +202,7 @@
 fn windows_ramp_up() {
     let windows = Rc::new(Windows::default());
     let mut now = Instant::now();
-    let held = windows.enter(&kind(), now);
+    let held = windows.acquire(&kind(), now);
     windows.ramp_up(now, 24);
     drop(held);
     assert_eq!(meet(&windows, &mut now, 1, 0.5), 4, "a sixth of the slots");
@@ -221,7 +221,7 @@
     meet(&windows, &mut now, 60, 10.0);
     let mut entered = 0;
     for _ in 0..100 {
-        entered += usize::from(windows.enter(&kind(), now).is_some());
+        entered += usize::from(windows.acquire(&kind(), now).is_some());
         now += STEP;
     }
     assert!(entered <= 1, "{entered}");
--- a/crates/admission/src/outset.rs
+++ b/crates/admission/src/throttle.rs
@@ -7,24 +7,24 @@
 
 use crate::breaker::Breaker;
 use crate::pressure::Pressure;
-use crate::window::{Place as WindowPlace, Windows};
+use crate::window::{Permit as WindowPermit, Windows};
 
 /// Why a request does not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hold {
+pub enum Rejection {
     /// As many requests of the kind are in progress as what they call can take.
     Window,
     /// A service further down has no upstream.
-    Path,
+    Breaker,
 }
 
 /// Whether requests of clients may begin at one node.
-pub struct Outset {
+pub struct Throttle {
     windows: Rc<Windows>,
     breaker: Breaker,
 }
 
-impl Outset {
+impl Throttle {
     /// Returns an outset over these windows.
     #[must_use]
     pub fn new(windows: Rc<Windows>) -> Rc<Self> {
@@ -39,13 +39,13 @@
     /// # Errors
     ///
     /// The request is not to begin now, and why.
-    pub fn begin(self: &Rc<Self>, kind: &KindName, now: Instant) -> Result<Place, Hold> {
+    pub fn acquire(self: &Rc<Self>, kind: &KindName, now: Instant) -> Result<Permit, Rejection> {
         if !self.breaker.lets_in(kind, now) {
-            return Err(Hold::Path);
+            return Err(Rejection::Breaker);
         }
-        let window = self.windows.enter(kind, now).ok_or(Hold::Window)?;
-        Ok(Place {
-            outset: Rc::clone(self),
+        let window = self.windows.acquire(kind, now).ok_or(Rejection::Window)?;
+        Ok(Permit {
+            throttle: Rc::clone(self),
             kind: kind.clone(),
             window,
         })
@@ -54,30 +54,33 @@
 
 /// What a request has met until it ended.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Met {
+pub struct Feedback {
     /// How full its own upstream is.
-    pub here: Pressure,
+    pub local: Pressure,
     /// The greatest pressure that its calls met.
-    pub below: Pressure,
+    pub callees: Pressure,
     /// It failed since a service further down has no upstream.
-    pub found_nobody: bool,
+    pub no_upstream: bool,
 }
 
 /// The place of one request that has begun.
-pub struct Place {
-    outset: Rc<Outset>,
+pub struct Permit {
+    throttle: Rc<Throttle>,
     kind: KindName,
-    window: WindowPlace,
+    window: WindowPermit,
 }
 
-impl Place {
+impl Permit {
     /// Notes what the request has met.
     ///
     /// The pressure at its own upstream counts like that of its calls. Without it a kind that
     /// calls nobody is held by the queue alone, keeps it full, and the windows of all kinds that
     /// call the same service from further up close.
-    pub fn note(&self, now: Instant, met: Met) {
-        self.window.note(now, met.below.greater(met.here));
-        self.outset.breaker.note(&self.kind, now, met.found_nobody);
+    pub fn record(&self, now: Instant, feedback: Feedback) {
+        self.window
+            .record(now, feedback.callees.max(feedback.local));
+        self.throttle
+            .breaker
+            .record(&self.kind, now, feedback.no_upstream);
     }
 }
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -105,13 +105,13 @@
         self.in_progress > 0 || too_soon
     }
 
-    fn enter(&mut self, now: Instant) {
+    fn acquire(&mut self, now: Instant) {
         self.in_progress += 1;
         self.entered = Some(now);
         self.round.peak = self.round.peak.max(self.in_progress);
     }
 
-    fn note(&mut self, now: Instant, time: Duration, pressure: Pressure) {
+    fn record(&mut self, now: Instant, time: Duration, pressure: Pressure) {
         let time = time.as_secs_f64();
         let known = if self.time > 0.0 { self.time } else { time };
         self.time = known + (time - known) * NEWEST_WEIGHT;
@@ -195,7 +195,7 @@
     }
 
     /// Takes a place for a request, or nothing if as many are in progress as may be.
-    pub fn enter(self: &Rc<Self>, kind: &KindName, now: Instant) -> Option<Place> {
+    pub fn acquire(self: &Rc<Self>, kind: &KindName, now: Instant) -> Option<Permit> {
         let start = self.start.get().filter(|start| now < start.until);
         let size = start.map(|start| start.size);
         let mut windows = self.windows.borrow_mut();
@@ -205,8 +205,8 @@
         if window.is_full(now) {
             return None;
         }
-        window.enter(now);
-        Some(Place {
+        window.acquire(now);
+        Some(Permit {
             windows: Rc::clone(self),
             kind: kind.clone(),
             entered: now,
@@ -215,23 +215,23 @@
 }
 
 /// The place of one request in the window of its kind.
-pub struct Place {
+pub struct Permit {
     windows: Rc<Windows>,
     kind: KindName,
     entered: Instant,
 }
 
-impl Place {
+impl Permit {
     /// Notes that the request ran, and the greatest pressure that it met further down.
-    pub fn note(&self, now: Instant, pressure: Pressure) {
+    pub fn record(&self, now: Instant, pressure: Pressure) {
         let time = now.saturating_duration_since(self.entered);
         if let Some(window) = self.windows.windows.borrow_mut().get_mut(&self.kind) {
-            window.note(now, time, pressure);
+            window.record(now, time, pressure);
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(window) = self.windows.windows.borrow_mut().get_mut(&self.kind) {
             window.in_progress -= 1;
--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -145,7 +145,7 @@
     /// Notes what became of a call made for the request.
     pub(crate) fn note(&self, returned: &Returned) {
         let met = returned.met_pressure();
-        self.pressure.set(self.pressure.get().greater(met));
+        self.pressure.set(self.pressure.get().max(met));
         if returned.is_success() {
             self.answered.set(self.answered.get() + 1);
         } else {
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -196,7 +196,7 @@
 /// all its calls again. An upstream whose requests wait is no reason: one lost answer in five
 /// calls of a request loses all of them, and while demand is high requests always wait somewhere.
 fn is_hopeless(returned: &Returned) -> bool {
-    returned.failed_below || returned.path_pressure >= Pressure::REFUSING
+    returned.failed_below || returned.path_pressure >= Pressure::OVERLOADED
 }
 
 /// Returns which of two ends the caller is told of.
--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use sailtrack_admission::{Admission, Outset, Windows};
+use sailtrack_admission::{Admission, Throttle, Windows};
 use sailtrack_net::task;
 use sailtrack_units::ServiceName;
 
@@ -44,7 +44,7 @@
             service,
             upstream,
             admission: Rc::new(Admission::new(rules, Instant::now())),
-            outset: Outset::new(Rc::default()),
+            outset: Throttle::new(Rc::default()),
             contexts: Rc::default(),
             records: Rc::default(),
             events: Rc::default(),
@@ -71,7 +71,7 @@
     /// Sets who may enter the upstream.
     pub(crate) fn admission(mut self, admission: Rc<Admission>, windows: Rc<Windows>) -> Self {
         self.gate.admission = admission;
-        self.gate.outset = Outset::new(windows);
+        self.gate.outset = Throttle::new(windows);
         self
     }
 
--- a/crates/mesh/src/gate/entered.rs
+++ b/crates/mesh/src/gate/entered.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use sailtrack_admission::{Met, OutsetPlace, Pressure};
+use sailtrack_admission::{Feedback, Pressure, ThrottlePermit};
 
 use super::room::Stay;
 use super::single::Turn;
@@ -20,7 +20,7 @@
     /// Its slot.
     pub(super) stay: Stay,
     /// Its place among those of its kind, if a client made it.
-    pub(super) outset: Option<OutsetPlace>,
+    pub(super) outset: Option<ThrottlePermit>,
     /// Held if it may end the upstream.
     #[allow(dead_code, reason = "it is held, not read")]
     pub(super) trial: Option<Turn>,
@@ -32,12 +32,12 @@
     /// Notes what the request met further down; `here` is how full its own upstream is.
     pub(super) fn note(&self, returned: &Returned, here: Pressure) {
         if let Some(outset) = &self.outset {
-            let met = Met {
-                here,
-                below: returned.path_pressure,
-                found_nobody: returned.found_nobody(),
+            let met = Feedback {
+                local: here,
+                callees: returned.path_pressure,
+                no_upstream: returned.found_nobody(),
             };
-            outset.note(Instant::now(), met);
+            outset.record(Instant::now(), met);
         }
     }
 }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 use futures::channel::oneshot;
-use sailtrack_admission::{Admission, Hold, Outset, OutsetPlace, Pressure};
+use sailtrack_admission::{Admission, Pressure, Rejection, Throttle, ThrottlePermit};
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::task::{self, Held};
@@ -68,7 +68,7 @@
     service: ServiceName,
     upstream: Rc<Upstream>,
     admission: Rc<Admission>,
-    outset: Rc<Outset>,
+    outset: Rc<Throttle>,
     contexts: Rc<Contexts>,
     records: Rc<Records>,
     events: Rc<Events>,
@@ -115,7 +115,7 @@
         Returned {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
-            path_pressure: returned.path_pressure.greater(pressure),
+            path_pressure: returned.path_pressure.max(pressure),
             ..returned
         }
     }
@@ -159,11 +159,11 @@
     async fn enter(
         &self,
         work: &mut Work,
-        outset: Option<OutsetPlace>,
+        outset: Option<ThrottlePermit>,
     ) -> Result<Entered, Returned> {
         let permit = self
             .admission
-            .enter_as(work.class, work.rank, work.begun, work.time_left())
+            .enter_in_class(work.class, work.rank, work.begun, work.time_left())
             .await;
         let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
         let Some(upstream) = self.open_upstream(work, Instant::now()) else {
@@ -283,10 +283,10 @@
     }
 
     /// Returns the place of a client's request among those of its kind.
-    fn begin(&self, work: &Work, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
+    fn begin(&self, work: &Work, now: Instant) -> Result<Option<ThrottlePermit>, Rejection> {
         if work.begun {
             return Ok(None);
         }
-        self.outset.begin(&work.kind, now).map(Some)
+        self.outset.acquire(&work.kind, now).map(Some)
     }
 }
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use sailtrack_admission::Hold;
+use sailtrack_admission::Rejection;
 use sailtrack_wire::Reason;
 
 use super::Gate;
@@ -11,10 +11,10 @@
 use crate::work::{Returned, Work};
 
 impl Gate {
-    pub(super) fn hold_back(&self, work: &Work, hold: Hold) -> Returned {
+    pub(super) fn hold_back(&self, work: &Work, hold: Rejection) -> Returned {
         match hold {
-            Hold::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
-            Hold::Path => Returned {
+            Rejection::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
+            Rejection::Breaker => Returned {
                 absent_below: true,
                 ..self.refuse_at(work, Reason::NoUpstream, Bound::Path)
             },
@@ -36,7 +36,7 @@
         let after = match (bound, reason) {
             (Bound::Path, _) => returns::after_absence(),
             (_, Reason::OnTrial) => returns::after_trial(),
-            _ => returns::after_overload(self.admission.return_spread(Instant::now())),
+            _ => returns::after_overload(self.admission.retry_spread(Instant::now())),
         };
         Returned::refused(reason).come_back(after)
     }
--- a/crates/mesh/src/gate/room.rs
+++ b/crates/mesh/src/gate/room.rs
@@ -14,7 +14,7 @@
 use futures::StreamExt as _;
 use futures::channel::mpsc;
 use monoio::time::sleep;
-use sailtrack_admission::{Admission, Arrival, Permit};
+use sailtrack_admission::{Admission, Decision, Permit};
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::task;
 use sailtrack_units::{Moment, Rank};
@@ -146,7 +146,7 @@
         let most = admission.limit(Instant::now()).saturating_sub(1);
         for _ in 0..told.min(most) {
             let left = until.since(clock::now());
-            let Arrival::Admitted(permit) = admission.arrive(Rank::LOWEST, false, left) else {
+            let Decision::Admitted(permit) = admission.submit(Rank::LOWEST, false, left) else {
                 return;
             };
             self.keep(self.number(), permit, until);
--- a/crates/mesh/src/gate/room/tests.rs
+++ b/crates/mesh/src/gate/room/tests.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use monoio::time::sleep;
-use sailtrack_admission::{Admission, Arrival, Permit};
+use sailtrack_admission::{Admission, Decision, Permit};
 use sailtrack_declaration::Limit;
 use sailtrack_net::{runtime, task};
 use sailtrack_units::Rank;
@@ -30,9 +30,9 @@
     }
 
     fn permit(&self) -> Option<Permit> {
-        match self.admission.arrive(Rank::LOWEST, false, LEFT) {
-            Arrival::Admitted(permit) => Some(permit),
-            Arrival::Waiting(_) | Arrival::Refused(_) => None,
+        match self.admission.submit(Rank::LOWEST, false, LEFT) {
+            Decision::Admitted(permit) => Some(permit),
+            Decision::Waiting(_) | Decision::Refused(_) => None,
         }
     }
 
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -87,7 +87,7 @@
         }
         self.watcher.note_answer(upstream, sent_at);
         if says_not_run {
-            self.admission.note_shed(Instant::now());
+            self.admission.record_shed(Instant::now());
             return Returned::turned_away(Reason::UpstreamShed);
         }
         if PROMISES.contains(&head.status) {
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use monoio::time::sleep;
-use sailtrack_admission::{Policy, Rules};
+use sailtrack_admission::{Config, Policy};
 use sailtrack_kernel::{Error, Joining, Life, Table};
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::terminate::{Signal, Signals};
@@ -28,11 +28,11 @@
 /// Who may enter an upstream. A request waits no longer than one of middle length runs; beyond
 /// that another upstream serves it sooner. A call of a request in progress waits longer: refusing
 /// it loses the calls that were made before it.
-pub(crate) const ADMISSION_RULES: Rules = Rules {
+pub(crate) const ADMISSION_RULES: Config = Config {
     policy: Policy::Adaptive,
     fixed_limit: 100,
     queue_time: Period::from_millis(100),
-    begun_queue_time: Period::from_millis(200),
+    nested_queue_time: Period::from_millis(200),
     warm_up: Period::from_millis(2000),
 };
 
--- a/crates/mesh/src/work.rs
+++ b/crates/mesh/src/work.rs
@@ -151,7 +151,7 @@
     /// slots for, so it does not do so for want of room.
     pub(crate) fn met_pressure(&self) -> Pressure {
         match self.reason {
-            Reason::Overload => self.path_pressure.greater(Pressure::REFUSING),
+            Reason::Overload => self.path_pressure.max(Pressure::OVERLOADED),
             _ => self.path_pressure,
         }
     }
--- a/crates/model/src/process.rs
+++ b/crates/model/src/process.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use sailtrack_admission::{OutsetPlace, Permit, Waiting};
+use sailtrack_admission::{Permit, ThrottlePermit, Waiting};
 use sailtrack_units::Rank;
 
 /// The place of a request among those that are under way.
@@ -52,7 +52,7 @@
     /// The upstream that it is at, by its place among all.
     pub(crate) gate: usize,
     pub(crate) permit: Option<Permit>,
-    pub(crate) place: Option<OutsetPlace>,
+    pub(crate) place: Option<ThrottlePermit>,
     pub(crate) waiting: Option<Waiting>,
     pub(crate) entered: Instant,
     /// The time of its own upstream, in seconds.
--- a/crates/model/src/run/client.rs
+++ b/crates/model/src/run/client.rs
@@ -79,7 +79,7 @@
         let after = if run.found_nobody {
             ABSENCE_RETURN.0 + ABSENCE_RETURN.1 * draw
         } else {
-            let spread = self.gates[run.gate].admission.return_spread(clock::now());
+            let spread = self.gates[run.gate].admission.retry_spread(clock::now());
             SHORTEST_RETURN + spread.as_secs_f64() * draw
         };
         after.min(left.as_secs_f64() / RETURN_SHARE)
--- a/crates/model/src/run/gate.rs
+++ b/crates/model/src/run/gate.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use sailtrack_admission::{Admission, Arrival, Hold, Met, Outset, Permit, Pressure, Waiting};
+use sailtrack_admission::{
+    Admission, Decision, Feedback, Permit, Pressure, Rejection, Throttle, Waiting,
+};
 
 use crate::clock::{self, seconds};
 use crate::process::{End, Maker, Run, RunId};
@@ -17,7 +19,7 @@
     pub(super) domain: usize,
     pub(super) speed: f64,
     pub(super) admission: Rc<Admission>,
-    pub(super) outset: Rc<Outset>,
+    pub(super) outset: Rc<Throttle>,
     pub(super) waiting: Vec<RunId>,
 }
 
@@ -33,25 +35,25 @@
         let (kind, rank, deadline) = (run.kind, run.rank, run.deadline);
         let begun = matches!(run.maker, Maker::Run(_));
         if !begun && self.rules.has(Mechanism::Windows) {
-            match outset.begin(&self.names[kind], now) {
+            match outset.acquire(&self.names[kind], now) {
                 Ok(place) => self.run(id).place = Some(place),
                 Err(hold) => {
-                    self.run(id).found_nobody |= hold == Hold::Path;
+                    self.run(id).found_nobody |= hold == Rejection::Breaker;
                     return false;
                 }
             }
         }
         let left = deadline.saturating_duration_since(now);
         let goes_first = begun && self.rules.has(Mechanism::BegunFirst);
-        match admission.arrive(rank, goes_first, left) {
-            Arrival::Admitted(permit) => self.start(id, permit),
-            Arrival::Refused(_) => {
+        match admission.submit(rank, goes_first, left) {
+            Decision::Admitted(permit) => self.start(id, permit),
+            Decision::Refused(_) => {
                 self.run(id).place = None;
-                self.run(id).below = Pressure::REFUSING.0;
+                self.run(id).below = Pressure::OVERLOADED.0;
                 return false;
             }
-            Arrival::Waiting(waiting) => {
-                let longest = waiting.longest().as_secs_f64();
+            Decision::Waiting(waiting) => {
+                let longest = waiting.max_wait().as_secs_f64();
                 self.run(id).waiting = Some(waiting);
                 self.gates[gate].waiting.push(id);
                 let number = self.number_of(id);
@@ -102,7 +104,7 @@
         let run = self.run(id);
         let gate = run.gate;
         run.place = None;
-        run.below = Pressure::REFUSING.0;
+        run.below = Pressure::OVERLOADED.0;
         run.refused_by.push(gate);
         self.dispatch(id);
     }
@@ -114,7 +116,7 @@
         let service = self.gates[gate].service;
         let slowness = self.graph.slowness(service, self.at()) / self.gates[gate].speed;
         let own_time = self.graph.kinds[kind].work.as_secs_f64() * draw * slowness;
-        let light = self.gates[gate].admission.is_light(clock::now());
+        let light = self.gates[gate].admission.is_lightly_loaded(clock::now());
         self.tally.runs += 1;
         let run = self.run(id);
         run.permit = Some(permit);
@@ -135,24 +137,24 @@
         let gate = &self.gates[run.gate];
         let here = gate.admission.pressure(now, run.rank.importance());
         if let Some(place) = &run.place {
-            let met = Met {
-                here: if self.rules.has(Mechanism::OwnPressure) {
+            let met = Feedback {
+                local: if self.rules.has(Mechanism::OwnPressure) {
                     gate.admission.shared_pressure(now, run.rank.importance())
                 } else {
                     Pressure(0.0)
                 },
-                below: Pressure(run.below),
-                found_nobody: self.rules.has(Mechanism::Breaker)
+                callees: Pressure(run.below),
+                no_upstream: self.rules.has(Mechanism::Breaker)
                     && run.found_nobody
                     && end != End::Done,
             };
-            place.note(now, met);
+            place.record(now, met);
         }
         if end == End::Done {
             let own_time = seconds(run.own_time);
             let kind = &self.names[run.kind];
             gate.admission
-                .note_completed(now, kind, own_time, run.light);
+                .record_completion(now, kind, own_time, run.light);
         }
         here.0
     }
--- a/crates/model/src/run/mod.rs
+++ b/crates/model/src/run/mod.rs
@@ -11,7 +11,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
-use sailtrack_admission::{Admission, Outset, Policy, Rules as AdmissionRules, Windows};
+use sailtrack_admission::{Admission, Config as AdmissionRules, Policy, Throttle, Windows};
 use sailtrack_declaration::Limit;
 use sailtrack_units::{KindName, Period, Rank, RequestId};
 
@@ -84,7 +84,7 @@
         policy: Policy::Adaptive,
         fixed_limit: 100,
         queue_time: Period::from_millis(100),
-        begun_queue_time: Period::from_millis(200),
+        nested_queue_time: Period::from_millis(200),
         warm_up: Period::from_millis(0),
     }
 }
@@ -103,7 +103,7 @@
                     domain: upstream.domain,
                     speed: upstream.speed,
                     admission: Rc::new(admission),
-                    outset: Outset::new(Rc::new(Windows::default())),
+                    outset: Throttle::new(Rc::new(Windows::default())),
                     waiting: Vec::new(),
                 });
             }
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -119,7 +119,7 @@
     /// Returns the pressure that the call met; one that was refused for overload met too much.
     pub(crate) fn met_pressure(&self) -> Pressure {
         if is_overload(self.reason) {
-            self.path_pressure.greater(Pressure::REFUSING)
+            self.path_pressure.max(Pressure::OVERLOADED)
         } else {
             self.path_pressure
         }
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -80,7 +80,7 @@
     /// Notes what the answer to a call says about the services further down.
     pub(crate) fn note_answer(&self, answer: &Answer) {
         self.level.set(self.level.get().max(answer.level));
-        let met = self.pressure.get().greater(answer.met_pressure());
+        let met = self.pressure.get().max(answer.met_pressure());
         self.pressure.set(met);
     }
 
--- a/crates/node/src/execute.rs
+++ b/crates/node/src/execute.rs
@@ -22,7 +22,7 @@
 use crate::ticket::{Begin, Closing, Tickets};
 use crate::upstream::Upstream;
 use sailtrack_admission::Policy;
-use sailtrack_admission::{Admission, WindowPlace, Windows};
+use sailtrack_admission::{Admission, WindowPermit, Windows};
 
 /// How long past its deadline a non-idempotent call is still waited for.
 ///
@@ -149,7 +149,7 @@
             Err(reason) => return self.shed(call, reason),
         };
         let entry = self.contexts.open(call);
-        let light = self.admission.is_light(arrived);
+        let light = self.admission.is_lightly_loaded(arrived);
         let handed_over = Instant::now();
         let result = self
             .upstream
@@ -174,23 +174,23 @@
         self.downstream.note(now, &call.root_kind, below);
         let level = below.max(self.admission.level(now));
         if let Some(window) = window {
-            window.note(now, entry.context.pressure.get());
+            window.record(now, entry.context.pressure.get());
         }
         let pressure = self.admission.pressure(now, call.rank.importance());
         Answer {
             used: entry.context.budget.used(),
             pressure,
-            path_pressure: entry.context.pressure.get().greater(pressure),
+            path_pressure: entry.context.pressure.get().max(pressure),
             ..answer.at_level(level)
         }
     }
 
     /// Returns the place of a root request in the window of its kind.
-    fn window(&self, call: &Call) -> Result<Option<WindowPlace>, Reason> {
+    fn window(&self, call: &Call) -> Result<Option<WindowPermit>, Reason> {
         if call.depth > 0 || self.policy != Policy::Adaptive {
             return Ok(None);
         }
-        match self.windows.enter(&call.root_kind, Instant::now()) {
+        match self.windows.acquire(&call.root_kind, Instant::now()) {
             Some(place) => Ok(Some(place)),
             None => Err(Reason::Overload),
         }
@@ -236,7 +236,7 @@
 
     /// Returns the answer with a time to come back, spread so that returns do not surge.
     pub(crate) fn later(&self, answer: Answer) -> Answer {
-        let spread = self.admission.return_spread(Instant::now());
+        let spread = self.admission.retry_spread(Instant::now());
         let spread = u64::try_from(spread.as_millis()).unwrap_or(u64::MAX);
         let millis = SHORTEST_RETURN_MS + rand::rng().random_range(0..=spread);
         answer.come_back(Duration::from_millis(millis))
@@ -253,12 +253,12 @@
         let says_not_run = response.status == StatusCode::SERVICE_UNAVAILABLE
             && response.header(header::OUTCOME) == Some("not-run");
         if says_not_run && entry.context.made_no_calls() {
-            self.admission.note_shed(now);
+            self.admission.record_shed(now);
             return self.later(Answer::not_run(Reason::UpstreamShed));
         }
         let Sample { own_time, light } = sample;
         self.admission
-            .note_completed(now, &call.kind, own_time, light);
+            .record_completion(now, &call.kind, own_time, light);
         let content_type = response
             .header("content-type")
             .unwrap_or_default()
--- a/crates/node/src/routing/peer_load.rs
+++ b/crates/node/src/routing/peer_load.rs
@@ -39,10 +39,10 @@
     /// Returns how full the member is, as far as is known; it has this many slots.
     pub(crate) fn pressure(&self, now: Instant, slots: f64) -> Pressure {
         let own = Pressure(f64::from(self.outstanding) / slots);
-        let told = self
-            .pressure
-            .map_or(Pressure::default(), |(told, heard)| told.faded(heard, now));
-        told.greater(own)
+        let told = self.pressure.map_or(Pressure::default(), |(told, heard)| {
+            told.decayed(heard, now)
+        });
+        told.max(own)
     }
 
     /// Notes what an answer says about the member.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Rules {
     /// Who may enter the own upstream.
-    pub(crate) admission: admission::Rules,
+    pub(crate) admission: admission::Config,
     /// The share of calls that retries may add.
     pub(crate) retry_ratio: Ratio,
     /// How long a ticket can be used.
@@ -141,11 +141,11 @@
 fn read_rules(section: &Section<'_>) -> Rules {
     let queue_time = section.or("queue-time", Period::from_millis(100), PERIOD);
     Rules {
-        admission: admission::Rules {
+        admission: admission::Config {
             policy: section.or("mode", Policy::Adaptive, "forward, fixed or adaptive"),
             fixed_limit: section.ranged("fixed-limit", 100, 1..=100_000),
             queue_time,
-            begun_queue_time: Period(queue_time.0 * BEGUN_PATIENCE),
+            nested_queue_time: Period(queue_time.0 * BEGUN_PATIENCE),
             warm_up: section.or("warm-up", Period::from_millis(2000), PERIOD),
         },
         retry_ratio: section.or("retry-ratio", Ratio(0.1), "from 0 to 1"),
--- a/crates/placement/src/news.rs
+++ b/crates/placement/src/news.rs
@@ -43,13 +43,13 @@
     pub fn pressure(&self, now: Instant, outstanding: u32, slots: u32, level: &Level) -> Pressure {
         let own = Pressure::of(outstanding as usize, slots as usize);
         let Some((told, heard)) = self.told else {
-            return Pressure(level.at(now)).greater(own);
+            return Pressure(level.at(now)).max(own);
         };
         let since = outstanding.saturating_sub(self.outstanding);
         let added = Pressure::of(since as usize, slots as usize);
-        let news = Pressure(1.0).faded(heard, now).0;
+        let news = Pressure(1.0).decayed(heard, now).0;
         let there = told.0 * news + level.at(now) * (1.0 - news);
-        Pressure(there + added.0).greater(own)
+        Pressure(there + added.0).max(own)
     }
 }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -386,8 +386,8 @@
             };
             let pressure = |place: usize| {
                 let own = Pressure::of(outstanding[place] as usize, slots(place) as usize);
-                let told = told[place].map(|(told, heard)| told.faded(heard, now));
-                told.unwrap_or_default().greater(own)
+                let told = told[place].map(|(told, heard)| told.decayed(heard, now));
+                told.unwrap_or_default().max(own)
             };
             let mut pick = |of: &Vec<usize>| {
                 let first = of.get(self.random.random_range(0..of.len().max(1)))?;
