--- a/crates/mesh/src/gate/entered.rs
+++ b/crates/mesh/src/gate/entered.rs
@@ -29,11 +29,11 @@
 }
 
 impl Entered {
-    /// Notes what the request met further down; `here` is how full its own upstream is.
-    pub(super) fn note(&self, returned: &Returned, here: Pressure) {
+    /// Notes what the request met further down; `local` is how full its own upstream is.
+    pub(super) fn note(&self, returned: &Returned, local: Pressure) {
         if let Some(outset) = &self.outset {
             let met = Feedback {
-                local: here,
+                local,
                 callees: returned.path_pressure,
                 no_upstream: returned.found_nobody(),
             };
--- a/crates/mesh/src/routing/learned.rs
+++ b/crates/mesh/src/routing/learned.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use sailtrack_placement::{Recent, Times};
+use sailtrack_placement::{Latencies, Shortlist};
 use sailtrack_units::ServiceName;
 
 /// The most services of which something is remembered, many times those of a deployment.
@@ -14,9 +14,9 @@
 #[derive(Default)]
 pub(crate) struct Learning {
     /// How long its answers take, by kind.
-    pub(crate) times: RefCell<Times>,
+    pub(crate) times: RefCell<Latencies>,
     /// Which of its upstreams were the best lately.
-    pub(crate) recent: Recent,
+    pub(crate) recent: Shortlist,
 }
 
 /// What is known of the services.
--- a/crates/mesh/src/routing/load.rs
+++ b/crates/mesh/src/routing/load.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use sailtrack_admission::Pressure;
-use sailtrack_placement::{Candidate, Level, News, PaceNews, Sample, Speed, Times};
+use sailtrack_placement::{Average, Candidate, Latencies, LoadReport, PaceReport, Sample, Speed};
 use sailtrack_units::{Class, Importance, KindName, Pace};
 use sailtrack_wire::{Outcome, Reason};
 
@@ -27,7 +27,7 @@
 
 /// How full the nodes of a service and side are together, for each importance.
 #[derive(Debug, Default)]
-pub(crate) struct Levels([Level; Importance::ALL.len()]);
+pub(crate) struct Levels([Average; Importance::ALL.len()]);
 
 impl Levels {
     /// Returns how full they are for requests of a class.
@@ -36,7 +36,7 @@
     }
 
     /// Returns the level for a class; before any is known, that which all nodes tell.
-    fn of(&self, class: Class) -> Level {
+    fn of(&self, class: Class) -> Average {
         let own = self.0[class.workspace as usize];
         if own.is_known() {
             own
@@ -52,8 +52,8 @@
     /// Requests sent and not answered yet.
     pub(crate) outstanding: u32,
     /// What it told last, for each importance: what matters less gives way and does not count.
-    news: [News; Importance::ALL.len()],
-    pace: PaceNews,
+    news: [LoadReport; Importance::ALL.len()],
+    pace: PaceReport,
     /// How full the nodes of its service and side are together.
     levels: Rc<RefCell<Levels>>,
     speed: Speed,
@@ -83,10 +83,10 @@
 
     fn note_news(&mut self, now: Instant, class: Class, pressure: Pressure, pace: Option<Pace>) {
         let importance = class.workspace as usize;
-        self.news[importance].note(now, pressure, self.outstanding);
-        self.levels.borrow_mut().0[importance].note(now, pressure.0);
+        self.news[importance].record(now, pressure, self.outstanding);
+        self.levels.borrow_mut().0[importance].record(now, pressure.0);
         if let Some(pace) = pace {
-            self.pace.note(now, pace);
+            self.pace.record(now, pace);
         }
     }
 
@@ -126,7 +126,7 @@
     pub(crate) fn note_time(
         &mut self,
         now: Instant,
-        times: &mut Times,
+        times: &mut Latencies,
         (class, kind): (Class, &KindName),
         time: Duration,
         returned: Option<&Returned>,
@@ -138,9 +138,9 @@
             time,
             pressure,
             pace: told.map_or_else(|| self.pace.factor(now), Pace::factor),
-            is_whole: returned.is_some(),
+            is_answered: returned.is_some(),
         };
-        times.note(kind, &mut self.speed, now, sample);
+        times.record(kind, &mut self.speed, now, sample);
     }
 
     /// Returns what speaks for and against it for a request of a class; its upstream has this many
@@ -162,9 +162,9 @@
         Candidate {
             is_available: self.is_available(now),
             pressure: sure.unwrap_or_else(told).0,
-            failing: self.failing(now),
+            failure_rate: self.failing(now),
             slowness: self.speed.slowness(now) * self.pace.factor(now),
-            doubt: self.speed.doubt(),
+            uncertainty: self.speed.uncertainty(),
         }
     }
 
--- a/crates/mesh/src/routing/load/tests.rs
+++ b/crates/mesh/src/routing/load/tests.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use sailtrack_admission::Pressure;
-use sailtrack_placement::{Need, Times};
+use sailtrack_placement::{Estimate, Latencies};
 use sailtrack_units::{Class, Importance, Pace};
 use sailtrack_wire::Reason;
 
@@ -66,11 +66,11 @@
 /// Returns what a request costs at a node whose upstream has 20 slots.
 fn cost(load: &PeerLoad, now: Instant) -> f64 {
     load.candidate(now, 20, CLASS, None)
-        .cost(&Need::unknown(1.0))
+        .cost(&Estimate::unknown(1.0))
 }
 
 /// Notes answers of a kind that took so long.
-fn answers(load: &mut PeerLoad, times: &mut Times, now: Instant, kind: &str, time: Duration) {
+fn answers(load: &mut PeerLoad, times: &mut Latencies, now: Instant, kind: &str, time: Duration) {
     let answer = Returned::answered(200, Bytes::new(), Body::Whole(Bytes::new()));
     let kind = kind.parse().expect("a name");
     load.note(now, CLASS, &answer);
@@ -80,7 +80,7 @@
 #[test]
 fn slow_ones_are_known() {
     let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
-    let mut times = Times::default();
+    let mut times = Latencies::default();
     for _ in 0..30 {
         answers(&mut slow, &mut times, now, "read", TIME * 5);
         answers(&mut quick, &mut times, now, "read", TIME);
@@ -93,7 +93,7 @@
 #[test]
 fn long_work_is_not_slow() {
     let (mut one, mut other, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
-    let mut times = Times::default();
+    let mut times = Latencies::default();
     for _ in 0..30 {
         answers(&mut one, &mut times, now, "search", TIME * 10);
         answers(&mut other, &mut times, now, "read", TIME);
@@ -106,7 +106,7 @@
 #[test]
 fn given_up_is_slow() {
     let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
-    let (mut times, kind) = (Times::default(), "read".parse().expect("a name"));
+    let (mut times, kind) = (Latencies::default(), "read".parse().expect("a name"));
     for _ in 0..10 {
         answers(&mut quick, &mut times, now, "read", TIME);
         slow.note_time(now, &mut times, (CLASS, &kind), TIME * 5, None);
@@ -136,7 +136,7 @@
 #[test]
 fn times_are_forgotten() {
     let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
-    let mut times = Times::default();
+    let mut times = Latencies::default();
     for _ in 0..30 {
         answers(&mut slow, &mut times, now, "read", TIME * 2);
         answers(&mut quick, &mut times, now, "read", TIME);
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -11,7 +11,7 @@
 use sailtrack_admission::Admission;
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_placement::{Candidate, Side, Sides, choose};
+use sailtrack_placement::{Candidate, Candidates, Locality, choose};
 use sailtrack_quarantine::Identity;
 use sailtrack_units::{Class, KindName, NodeName, ServiceName};
 
@@ -71,22 +71,25 @@
         let placed = self.peers.of_service(&work.service).unwrap_or_default();
         let learning = self.learned.of(&work.service);
         let is_own = self.takes(&work.service, tried, now);
-        let need = learning.times.borrow().need(&work.kind, work.time_left());
+        let need = learning
+            .times
+            .borrow()
+            .estimate(&work.kind, work.time_left());
         let levels = [&placed.near_levels, &placed.far_levels];
         let levels = levels.map(|levels| levels.borrow().at(now, work.class));
-        let sides = Sides {
+        let sides = Candidates {
             // The own upstream comes after the other near ones.
-            near: placed.near.len() + usize::from(is_own),
-            far: placed.far.len(),
-            look: |side, place| match link(&placed, side, place) {
+            same_domain: placed.near.len() + usize::from(is_own),
+            other_domains: placed.far.len(),
+            lookup: |side, place| match link(&placed, side, place) {
                 Some(link) => look(link, work.class, tried, now),
                 None => Some(self.look_at_own(work.class, now)),
             },
-            emptier: levels[0] - levels[1],
-            recent: &learning.recent,
+            pressure_gap: levels[0] - levels[1],
+            shortlist: &learning.recent,
         };
         let (side, place) = choose(&sides, &need, &mut rand::rng())?;
-        if side == Side::Far && sides.near > 0 {
+        if side == Locality::OtherDomain && sides.same_domain > 0 {
             self.metrics.note_left_domain(&work.service);
         }
         let link = link(&placed, side, place);
@@ -145,10 +148,10 @@
 }
 
 /// Returns the link in a place, or nothing for the own upstream.
-fn link(placed: &Placed, side: Side, place: usize) -> Option<&Rc<Link>> {
+fn link(placed: &Placed, side: Locality, place: usize) -> Option<&Rc<Link>> {
     match side {
-        Side::Near => placed.near.get(place),
-        Side::Far => placed.far.get(place),
+        Locality::SameDomain => placed.near.get(place),
+        Locality::OtherDomain => placed.far.get(place),
     }
 }
 
--- a/crates/placement/benches/choice.rs
+++ b/crates/placement/benches/choice.rs
@@ -7,7 +7,8 @@
 use rand::{Rng as _, SeedableRng as _};
 use sailtrack_admission::Pressure;
 use sailtrack_placement::{
-    Candidate, Level, News, PaceNews, Recent, Sample, Side, Sides, Speed, Times, choose,
+    Average, Candidate, Candidates, Latencies, LoadReport, Locality, PaceReport, Sample, Shortlist,
+    Speed, choose,
 };
 use sailtrack_units::{KindName, Pace};
 
@@ -21,53 +22,56 @@
     let mut random = SmallRng::seed_from_u64(1);
     let now = Instant::now();
     let kind: KindName = "browse".parse().expect("a name");
-    let mut times = Times::default();
+    let mut times = Latencies::default();
     let mut learned = Vec::new();
     for _ in 0..upstreams {
-        let (mut speed, mut news) = (Speed::default(), (News::default(), PaceNews::default()));
+        let (mut speed, mut news) = (
+            Speed::default(),
+            (LoadReport::default(), PaceReport::default()),
+        );
         for _ in 0..10 {
             let sample = Sample {
                 time: Duration::from_millis(random.random_range(20..900)),
                 pressure: 0.5,
                 pace: 1.0,
-                is_whole: true,
+                is_answered: true,
             };
-            times.note(&kind, &mut speed, now, sample);
+            times.record(&kind, &mut speed, now, sample);
         }
         news.0
-            .note(now, Pressure(random.random_range(0.8..1.0) * pressure), 0);
-        news.1.note(now, Pace::USUAL);
+            .record(now, Pressure(random.random_range(0.8..1.0) * pressure), 0);
+        news.1.record(now, Pace::USUAL);
         learned.push((speed, news));
     }
-    let recent = Recent::default();
-    let mut level = Level::default();
-    level.note(now, pressure);
-    let near = upstreams.div_ceil(3);
-    let sides = Sides {
-        near,
-        far: upstreams - near,
-        look: |side, place| {
-            let place = if side == Side::Near {
+    let shortlist = Shortlist::default();
+    let mut level = Average::default();
+    level.record(now, pressure);
+    let same_domain = upstreams.div_ceil(3);
+    let candidates = Candidates {
+        same_domain,
+        other_domains: upstreams - same_domain,
+        lookup: |locality, place| {
+            let place = if locality == Locality::SameDomain {
                 place
             } else {
-                near + place
+                same_domain + place
             };
-            let (speed, news): &(Speed, (News, PaceNews)) = &learned[place];
+            let (speed, news): &(Speed, (LoadReport, PaceReport)) = &learned[place];
             (place % AWAY != 0).then(|| Candidate {
                 is_available: true,
                 pressure: news.0.pressure(now, 1, 60, &level).0,
-                failing: 0.0,
+                failure_rate: 0.0,
                 slowness: speed.slowness(now) * news.1.factor(now),
-                doubt: speed.doubt(),
+                uncertainty: speed.uncertainty(),
             })
         },
-        emptier: 0.0,
-        recent: &recent,
+        pressure_gap: 0.0,
+        shortlist: &shortlist,
     };
     let began = Instant::now();
     for _ in 0..ROUNDS {
-        let need = times.need(&kind, LEFT);
-        black_box(choose(&sides, black_box(&need), &mut random));
+        let estimate = times.estimate(&kind, LEFT);
+        black_box(choose(&candidates, black_box(&estimate), &mut random));
     }
     began.elapsed() / ROUNDS
 }
--- a/crates/placement/src/level.rs
+++ b/crates/placement/src/average.rs
@@ -14,14 +14,14 @@
 
 /// How full the upstreams of one side are together, as they tell it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Level {
+pub struct Average {
     value: f64,
     heard: Option<Instant>,
 }
 
-impl Level {
+impl Average {
     /// Notes how full one of the upstreams is.
-    pub fn note(&mut self, now: Instant, pressure: f64) {
+    pub fn record(&mut self, now: Instant, pressure: f64) {
         let Some(heard) = self.heard.replace(now) else {
             self.value = pressure;
             return;
--- a/crates/placement/src/candidate.rs
+++ b/crates/placement/src/candidate.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use crate::need::Need;
+use crate::estimate::Estimate;
 
 /// The greatest share of failures that counts.
 const MOST_FAILING: f64 = 0.9;
@@ -32,20 +32,20 @@
     /// What runs and waits there, as a share of its slots.
     pub pressure: f64,
     /// The share of its requests that failed lately.
-    pub failing: f64,
+    pub failure_rate: f64,
     /// How many times as long as the others of its service it takes at this moment.
     pub slowness: f64,
     /// By how much it may be quicker or slower than that, as a logarithm.
-    pub doubt: f64,
+    pub uncertainty: f64,
 }
 
 impl Candidate {
     /// Returns it with a pressure and a speed as they may be now. Without the second the first
     /// upstream that is known gets all requests if it looks a little quicker than unknown ones.
-    pub(crate) fn doubted(&self, random: &mut impl Rng) -> Self {
+    pub(crate) fn perturbed(&self, random: &mut impl Rng) -> Self {
         let pressure = self.pressure * random.random_range(1.0 - DOUBT..1.0 + DOUBT);
-        let doubt = self.doubt * random.random_range(-1.0..1.0);
-        let slowness = self.slowness * doubt.exp();
+        let uncertainty = self.uncertainty * random.random_range(-1.0..1.0);
+        let slowness = self.slowness * uncertainty.exp();
         Self {
             pressure,
             slowness,
@@ -55,21 +55,21 @@
 
     /// Returns what a request costs there, in seconds.
     #[must_use]
-    pub fn cost(&self, need: &Need) -> f64 {
-        let served = 1.0 - self.failing.min(MOST_FAILING);
-        let time = need.mean * self.slowness + need.occupied * self.crowd();
+    pub fn cost(&self, estimate: &Estimate) -> f64 {
+        let served = 1.0 - self.failure_rate.min(MOST_FAILING);
+        let time = estimate.mean * self.slowness + estimate.slot_time * self.crowd();
         // A node that fails a share of its requests costs as many repeats.
-        time / served.powi(2) + self.late(need) * need.left
+        time / served.powi(2) + self.late(estimate) * estimate.time_left
     }
 
     /// Returns the share of such requests that does not end in time there.
-    pub(crate) fn late(&self, need: &Need) -> f64 {
-        need.late(self.slowness * (1.0 + (self.pressure - 1.0).max(0.0)))
+    pub(crate) fn late(&self, estimate: &Estimate) -> f64 {
+        estimate.late(self.slowness * (1.0 + (self.pressure - 1.0).max(0.0)))
     }
 
     /// Returns the share of such requests from which the caller gets nothing.
-    pub(crate) fn lost(&self, need: &Need) -> f64 {
-        self.failing + self.late(need)
+    pub(crate) fn lost(&self, estimate: &Estimate) -> f64 {
+        self.failure_rate + self.late(estimate)
     }
 
     fn crowd(&self) -> f64 {
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use crate::candidate::Candidate;
-use crate::need::Need;
+use crate::estimate::Estimate;
 use crate::spill::{prefers_far, wants_far};
 
 /// Of this many upstreams or fewer all are looked at.
@@ -27,41 +27,41 @@
 
 /// In which failure domain an upstream stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Side {
+pub enum Locality {
     /// In the own one.
-    Near,
+    SameDomain,
     /// In another one.
-    Far,
+    OtherDomain,
 }
 
 /// The upstreams of a service that were the best among those that were drawn lately.
 #[derive(Debug, Default)]
-pub struct Recent {
-    near: Cell<[usize; REMEMBERED]>,
-    far: Cell<[usize; REMEMBERED]>,
+pub struct Shortlist {
+    same_domain: Cell<[usize; REMEMBERED]>,
+    other_domains: Cell<[usize; REMEMBERED]>,
 }
 
-impl Recent {
-    fn of(&self, side: Side) -> &Cell<[usize; REMEMBERED]> {
-        match side {
-            Side::Near => &self.near,
-            Side::Far => &self.far,
+impl Shortlist {
+    fn of(&self, locality: Locality) -> &Cell<[usize; REMEMBERED]> {
+        match locality {
+            Locality::SameDomain => &self.same_domain,
+            Locality::OtherDomain => &self.other_domains,
         }
     }
 }
 
 /// The upstreams of a service.
-pub struct Sides<'a, L> {
+pub struct Candidates<'a, L> {
     /// How many there are in the own failure domain,
-    pub near: usize,
+    pub same_domain: usize,
     /// and in the others.
-    pub far: usize,
+    pub other_domains: usize,
     /// Returns what is known of one, or nothing if it takes no requests.
-    pub look: L,
+    pub lookup: L,
     /// By how much those in the other domains are emptier together.
-    pub emptier: f64,
+    pub pressure_gap: f64,
     /// Those that were the best lately.
-    pub recent: &'a Recent,
+    pub shortlist: &'a Shortlist,
 }
 
 type Found = (usize, Candidate);
@@ -69,51 +69,60 @@
 /// Returns which upstream gets a request.
 ///
 /// Those that failed lately are left out unless there is no other one.
-pub fn choose<L, R>(sides: &Sides<'_, L>, need: &Need, random: &mut R) -> Option<(Side, usize)>
+pub fn choose<L, R>(
+    candidates: &Candidates<'_, L>,
+    estimate: &Estimate,
+    random: &mut R,
+) -> Option<(Locality, usize)>
 where
-    L: Fn(Side, usize) -> Option<Candidate>,
+    L: Fn(Locality, usize) -> Option<Candidate>,
     R: Rng,
 {
-    let near = sides.best(Side::Near, need, random);
+    let near = candidates.best(Locality::SameDomain, estimate, random);
     let is_sound = |found: &Found| found.1.is_available;
     if let Some((place, candidate)) = near.filter(is_sound)
-        && !wants_far(&candidate, need)
+        && !wants_far(&candidate, estimate)
     {
-        let explored = sides.explored(Side::Near, need, random);
-        return Some((Side::Near, explored.unwrap_or(place)));
+        let explored = candidates.explored(Locality::SameDomain, estimate, random);
+        return Some((Locality::SameDomain, explored.unwrap_or(place)));
     }
-    let far = sides.best(Side::Far, need, random);
+    let far = candidates.best(Locality::OtherDomain, estimate, random);
     let prefers = match (&near, &far) {
         (Some((_, near)), Some((_, far))) if near.is_available == far.is_available => {
-            prefers_far(near, far, need, sides.emptier, random)
+            prefers_far(near, far, estimate, candidates.pressure_gap, random)
         }
         (Some((_, near)), Some(_)) => !near.is_available,
         (near, _) => near.is_none(),
     };
-    let (side, found) = if prefers {
-        (Side::Far, far)
+    let (locality, found) = if prefers {
+        (Locality::OtherDomain, far)
     } else {
-        (Side::Near, near)
+        (Locality::SameDomain, near)
     };
     let (place, _) = found?;
-    let explored = sides.explored(side, need, random);
-    Some((side, explored.unwrap_or(place)))
+    let explored = candidates.explored(locality, estimate, random);
+    Some((locality, explored.unwrap_or(place)))
 }
 
-impl<L> Sides<'_, L>
+impl<L> Candidates<'_, L>
 where
-    L: Fn(Side, usize) -> Option<Candidate>,
+    L: Fn(Locality, usize) -> Option<Candidate>,
 {
-    fn len(&self, side: Side) -> usize {
-        match side {
-            Side::Near => self.near,
-            Side::Far => self.far,
+    fn len(&self, locality: Locality) -> usize {
+        match locality {
+            Locality::SameDomain => self.same_domain,
+            Locality::OtherDomain => self.other_domains,
         }
     }
 
     /// Returns the best of a few upstreams of one side.
-    fn best(&self, side: Side, need: &Need, random: &mut impl Rng) -> Option<Found> {
-        let len = self.len(side);
+    fn best(
+        &self,
+        locality: Locality,
+        estimate: &Estimate,
+        random: &mut impl Rng,
+    ) -> Option<Found> {
+        let len = self.len(locality);
         if len == 0 {
             return None;
         }
@@ -121,7 +130,7 @@
         let first = random.random_range(0..len);
         if len <= FEW {
             for step in 0..len {
-                self.weigh(side, (first + step) % len, need, &mut best, random);
+                self.weigh(locality, (first + step) % len, estimate, &mut best, random);
             }
             let found = best.found();
             let is_crowded = |found: &Found| found.1.pressure >= CROWDED_FROM;
@@ -129,59 +138,78 @@
                 return found;
             }
             let mut best = Best::default();
-            self.weigh(side, first, need, &mut best, random);
+            self.weigh(locality, first, estimate, &mut best, random);
             let place = random.random_range(0..len);
-            self.weigh(side, place, need, &mut best, random);
+            self.weigh(locality, place, estimate, &mut best, random);
             return best.found().or(found);
         }
-        self.weigh(side, first, need, &mut best, random);
+        self.weigh(locality, first, estimate, &mut best, random);
         for _ in 1..DRAWN {
             let place = random.random_range(0..len);
-            self.weigh(side, place, need, &mut best, random);
+            self.weigh(locality, place, estimate, &mut best, random);
         }
-        let recent = self.recent.of(side);
-        for place in recent.get() {
+        let shortlist = self.shortlist.of(locality);
+        for place in shortlist.get() {
             if place < len {
-                self.weigh(side, place, need, &mut best, random);
+                self.weigh(locality, place, estimate, &mut best, random);
             }
         }
-        recent.set(best.places.map(|place| place.unwrap_or(usize::MAX)));
+        shortlist.set(best.places.map(|place| place.unwrap_or(usize::MAX)));
         if best.sound.is_none() {
-            self.scan(side, first, need, &mut best, random);
+            self.scan(locality, first, estimate, &mut best, random);
         }
         best.found()
     }
 
     /// Looks for the first sound upstream when none was drawn.
-    fn scan(&self, side: Side, first: usize, need: &Need, best: &mut Best, random: &mut impl Rng) {
-        let len = self.len(side);
+    fn scan(
+        &self,
+        locality: Locality,
+        first: usize,
+        estimate: &Estimate,
+        best: &mut Best,
+        random: &mut impl Rng,
+    ) {
+        let len = self.len(locality);
         for step in 0..len {
-            self.weigh(side, (first + step) % len, need, best, random);
+            self.weigh(locality, (first + step) % len, estimate, best, random);
             if best.sound.is_some() {
                 return;
             }
         }
     }
 
-    fn weigh(&self, side: Side, place: usize, need: &Need, best: &mut Best, random: &mut impl Rng) {
+    fn weigh(
+        &self,
+        locality: Locality,
+        place: usize,
+        estimate: &Estimate,
+        best: &mut Best,
+        random: &mut impl Rng,
+    ) {
         if best.places.contains(&Some(place)) {
             return;
         }
-        if let Some(candidate) = (self.look)(side, place) {
-            let doubted = candidate.doubted(random);
-            best.take(place, candidate, doubted.cost(need));
+        if let Some(candidate) = (self.lookup)(locality, place) {
+            let perturbed = candidate.perturbed(random);
+            best.take(place, candidate, perturbed.cost(estimate));
         }
     }
 
     /// Returns any upstream of one side with room, from time to time.
-    fn explored(&self, side: Side, need: &Need, random: &mut impl Rng) -> Option<usize> {
+    fn explored(
+        &self,
+        locality: Locality,
+        estimate: &Estimate,
+        random: &mut impl Rng,
+    ) -> Option<usize> {
         if !random.random_ratio(1, EXPLORED) {
             return None;
         }
-        let place = random.random_range(0..self.len(side));
-        let candidate = (self.look)(side, place)?;
+        let place = random.random_range(0..self.len(locality));
+        let candidate = (self.lookup)(locality, place)?;
         let has_room = candidate.is_available && candidate.pressure < EXPLORED_BELOW;
-        (has_room && candidate.late(need) < EXPLORED_LATE).then_some(place)
+        (has_room && candidate.late(estimate) < EXPLORED_LATE).then_some(place)
     }
 }
 
--- a/crates/placement/src/times.rs
+++ b/crates/placement/src/latencies.rs
@@ -5,7 +5,7 @@
 
 use sailtrack_units::KindName;
 
-use crate::need::Need;
+use crate::estimate::Estimate;
 use crate::speed::Speed;
 
 /// The end of the first bucket, in seconds; each further one ends at the root of two times that.
@@ -37,7 +37,7 @@
     /// How many times as long as usual work took on its instance.
     pub pace: f64,
     /// Whether it was answered; if not, it would have taken longer.
-    pub is_whole: bool,
+    pub is_answered: bool,
 }
 
 /// How long the answers of a kind take at a usual upstream.
@@ -54,54 +54,54 @@
 
 /// How long the answers of a service take.
 #[derive(Debug, Clone, Default)]
-pub struct Times {
+pub struct Latencies {
     kinds: HashMap<KindName, Kind>,
     /// The mean of the seconds and of their squares.
     mean: Option<(f64, f64)>,
 }
 
-impl Times {
+impl Latencies {
     /// Takes in an answer of an upstream whose speed is learned with it.
-    pub fn note(&mut self, kind: &KindName, speed: &mut Speed, now: Instant, sample: Sample) {
+    pub fn record(&mut self, kind: &KindName, speed: &mut Speed, now: Instant, sample: Sample) {
         let wait = (sample.pressure - 1.0).clamp(0.0, MOST_WAIT);
         let time = sample.time.as_secs_f64().max(FIRST_BUCKET) / sample.pace / (1.0 + wait);
         let slowness = speed.slowness(now);
         let Some(known) = self.kinds.get_mut(kind) else {
-            if sample.is_whole {
+            if sample.is_answered {
                 self.learn(kind, now, time / slowness);
             }
             return;
         };
         let expected = known.log + speed.log(now);
-        if !sample.is_whole && time.ln() <= expected {
+        if !sample.is_answered && time.ln() <= expected {
             // It ended before an answer was due, and says nothing.
             return;
         }
         let log = time.ln();
-        speed.note(now, log - known.log);
-        known.note(now, time / slowness, log - expected);
+        speed.record(now, log - known.log);
+        known.record(now, time / slowness, log - expected);
         self.note_mean(time / slowness);
     }
 
     /// Returns what a request of a kind needs that has this much time left.
     #[must_use]
-    pub fn need(&self, kind: &KindName, left: Duration) -> Need {
-        let left = left.as_secs_f64();
+    pub fn estimate(&self, kind: &KindName, time_left: Duration) -> Estimate {
+        let time_left = time_left.as_secs_f64();
         let Some((mean, square)) = self.mean else {
-            return Need::unknown(left);
+            return Estimate::unknown(time_left);
         };
         let known = self.kinds.get(kind);
-        Need {
+        Estimate {
             mean: known.map_or(mean, |known| known.mean),
-            occupied: square / mean,
-            left,
+            slot_time: square / mean,
+            time_left,
             longer: known.and_then(Kind::longer),
         }
     }
 
     /// Returns the time in which this share of a kind's answers comes, if that is known.
     #[must_use]
-    pub fn within(&self, kind: &KindName, share: f32) -> Option<Duration> {
+    pub fn quantile(&self, kind: &KindName, share: f32) -> Option<Duration> {
         let longer = self.kinds.get(kind)?.longer()?;
         let place = longer.iter().position(|longer| 1.0 - longer >= share)?;
         Some(Duration::from_secs_f64(end(place)))
@@ -133,7 +133,7 @@
 }
 
 impl Kind {
-    fn note(&mut self, now: Instant, time: f64, surprise: f64) {
+    fn record(&mut self, now: Instant, time: f64, surprise: f64) {
         self.log += surprise.clamp(-1.0, 1.0) * NEWEST_WEIGHT;
         self.mean += (time - self.mean) * MEAN_WEIGHT;
         self.answered = now;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -7,17 +7,17 @@
 mod choice;
 mod decay;
 
-mod level;
-mod need;
-mod news;
+mod average;
+mod estimate;
+mod latencies;
+mod report;
 mod speed;
 mod spill;
-mod times;
 
+pub use average::Average;
 pub use candidate::Candidate;
-pub use choice::{Recent, Side, Sides, choose};
-pub use level::Level;
-pub use need::Need;
-pub use news::{News, PaceNews};
+pub use choice::{Candidates, Locality, Shortlist, choose};
+pub use estimate::Estimate;
+pub use latencies::{Latencies, Sample};
+pub use report::{LoadReport, PaceReport};
 pub use speed::Speed;
-pub use times::{Sample, Times};
--- a/crates/placement/src/news.rs
+++ b/crates/placement/src/report.rs
@@ -5,8 +5,8 @@
 use sailtrack_admission::Pressure;
 use sailtrack_units::Pace;
 
+use crate::average::Average;
 use crate::decay::remaining;
-use crate::level::Level;
 
 /// A pace is taken at its word for this long.
 const PACE_HOLD: Duration = Duration::from_millis(100);
@@ -16,15 +16,15 @@
 
 /// How full an upstream said last that it is.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct News {
+pub struct LoadReport {
     told: Option<(Pressure, Instant)>,
     /// The requests that were on their way from here when it was told.
     outstanding: u32,
 }
 
-impl News {
+impl LoadReport {
     /// Notes how full the upstream is, while `outstanding` requests were on their way from here.
-    pub fn note(&mut self, now: Instant, pressure: Pressure, outstanding: u32) {
+    pub fn record(&mut self, now: Instant, pressure: Pressure, outstanding: u32) {
         self.told = Some((pressure, now));
         self.outstanding = outstanding;
     }
@@ -40,26 +40,32 @@
     /// As what was told gets old, the upstream is taken to be like the others of its side: taken
     /// to be empty, two failure domains would each send to the other what both have no room for.
     #[must_use]
-    pub fn pressure(&self, now: Instant, outstanding: u32, slots: u32, level: &Level) -> Pressure {
+    pub fn pressure(
+        &self,
+        now: Instant,
+        outstanding: u32,
+        slots: u32,
+        average: &Average,
+    ) -> Pressure {
         let own = Pressure::of(outstanding as usize, slots as usize);
         let Some((told, heard)) = self.told else {
-            return Pressure(level.at(now)).max(own);
+            return Pressure(average.at(now)).max(own);
         };
         let since = outstanding.saturating_sub(self.outstanding);
         let added = Pressure::of(since as usize, slots as usize);
         let news = Pressure(1.0).decayed(heard, now).0;
-        let there = told.0 * news + level.at(now) * (1.0 - news);
+        let there = told.0 * news + average.at(now) * (1.0 - news);
         Pressure(there + added.0).max(own)
     }
 }
 
 /// How long work takes on the instance of an upstream, as it said last.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PaceNews(Option<(Pace, Instant)>);
+pub struct PaceReport(Option<(Pace, Instant)>);
 
-impl PaceNews {
+impl PaceReport {
     /// Notes how long work takes there.
-    pub fn note(&mut self, now: Instant, pace: Pace) {
+    pub fn record(&mut self, now: Instant, pace: Pace) {
         self.0 = Some((pace, now));
     }
 
--- a/crates/placement/src/speed.rs
+++ b/crates/placement/src/speed.rs
@@ -35,7 +35,7 @@
 
     /// Returns by how much it may be quicker or slower than that, as a logarithm.
     #[must_use]
-    pub fn doubt(&self) -> f64 {
+    pub fn uncertainty(&self) -> f64 {
         FIRST_DOUBT / (1.0 + self.answers)
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Notes an answer that took so much longer, as a logarithm, than one of its kind usually does.
-    pub(crate) fn note(&mut self, now: Instant, log: f64) {
+    pub(crate) fn record(&mut self, now: Instant, log: f64) {
         let before = self.log(now);
         self.answers += 1.0;
         let weight = NEWEST_WEIGHT.max(1.0 / (self.answers + ASSUMED_ANSWERS));
--- a/crates/placement/src/spill.rs
+++ b/crates/placement/src/spill.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use crate::candidate::Candidate;
-use crate::need::Need;
+use crate::estimate::Estimate;
 
 /// An upstream of another failure domain is preferred if the near one loses this much more of its
 /// requests. A loss of a tenth outweighs the price of an answer between failure domains.
@@ -20,8 +20,8 @@
 const CLEAR_MARGIN: f64 = 0.3;
 
 /// Returns true if the other failure domains need to be looked at.
-pub(crate) fn wants_far(near: &Candidate, need: &Need) -> bool {
-    near.pressure >= RELIEVED_FROM || near.lost(need) > LOSING_MARGIN
+pub(crate) fn wants_far(near: &Candidate, estimate: &Estimate) -> bool {
+    near.pressure >= RELIEVED_FROM || near.lost(estimate) > LOSING_MARGIN
 }
 
 /// Returns true if a target in another failure domain is preferred to a near one; the others are
@@ -29,16 +29,16 @@
 pub(crate) fn prefers_far(
     near: &Candidate,
     far: &Candidate,
-    need: &Need,
-    emptier: f64,
+    estimate: &Estimate,
+    pressure_gap: f64,
     random: &mut impl Rng,
 ) -> bool {
-    let is_sounder = far.lost(need) + LOSING_MARGIN < near.lost(need);
+    let is_sounder = far.lost(estimate) + LOSING_MARGIN < near.lost(estimate);
     if is_sounder && far.pressure < 1.0 {
         return true;
     }
     let margin = random.random_range(LEAST_MARGIN..MOST_MARGIN);
     let difference = near.pressure - far.pressure;
-    let is_emptier = emptier > margin && difference > LEAST_MARGIN;
+    let is_emptier = pressure_gap > margin && difference > LEAST_MARGIN;
     near.pressure >= RELIEVED_FROM && (is_emptier || difference > CLEAR_MARGIN)
 }
--- a/crates/placement/tests/newcomers.rs
+++ b/crates/placement/tests/newcomers.rs
@@ -4,43 +4,48 @@
 
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
-use sailtrack_placement::{Candidate, Need, Recent, Side, Sides, Speed, choose};
+use sailtrack_placement::{Candidate, Candidates, Estimate, Locality, Shortlist, Speed, choose};
 
-fn candidate(pressure: f64, slowness: f64, doubt: f64) -> Candidate {
+fn candidate(pressure: f64, slowness: f64, uncertainty: f64) -> Candidate {
     Candidate {
         is_available: true,
         pressure,
-        failing: 0.0,
+        failure_rate: 0.0,
         slowness,
-        doubt,
+        uncertainty,
     }
 }
 
 /// Returns the places that so many requests get.
-fn chosen<L>((near, far): (usize, usize), look: L, seed: u64, requests: usize) -> Vec<usize>
+fn chosen<L>(
+    (same_domain, other_domains): (usize, usize),
+    lookup: L,
+    seed: u64,
+    requests: usize,
+) -> Vec<usize>
 where
-    L: Fn(Side, usize) -> Option<Candidate>,
+    L: Fn(Locality, usize) -> Option<Candidate>,
 {
-    let recent = Recent::default();
-    let sides = Sides {
-        near,
-        far,
-        look,
-        emptier: 0.0,
-        recent: &recent,
+    let shortlist = Shortlist::default();
+    let candidates = Candidates {
+        same_domain,
+        other_domains,
+        lookup,
+        pressure_gap: 0.0,
+        shortlist: &shortlist,
     };
     let mut random = StdRng::seed_from_u64(seed);
-    let need = Need::unknown(1.0);
-    let chosen = (0..requests).filter_map(|_| choose(&sides, &need, &mut random));
+    let estimate = Estimate::unknown(1.0);
+    let chosen = (0..requests).filter_map(|_| choose(&candidates, &estimate, &mut random));
     chosen.map(|(_, place)| place).collect()
 }
 
 /// Returns how many of a thousand requests a new upstream gets beside one that is known to be quick.
-fn taken_by_newcomer(near: usize, far: usize) -> usize {
-    let unknown = Speed::default().doubt();
-    let look =
+fn taken_by_newcomer(same_domain: usize, other_domains: usize) -> usize {
+    let unknown = Speed::default().uncertainty();
+    let lookup =
         |_, place: usize| Some([candidate(0.1, 0.5, 0.0), candidate(0.1, 1.0, unknown)][place]);
-    let chosen = chosen((near, far), look, 1, 1000);
+    let chosen = chosen((same_domain, other_domains), lookup, 1, 1000);
     chosen.into_iter().filter(|place| *place == 1).count()
 }
 
@@ -58,13 +63,13 @@
 /// forty requests each of these is tried.
 #[test]
 fn beside_first_known() {
-    let unknown = Speed::default().doubt();
-    let look = |_, place: usize| {
+    let unknown = Speed::default().uncertainty();
+    let lookup = |_, place: usize| {
         let slowness = [0.97, 1.0, 1.0][place];
         Some(candidate(0.0, slowness, [0.1, 1.0, 1.0][place] * unknown))
     };
     for seed in 0..200 {
-        let tried: HashSet<usize> = chosen((3, 0), look, seed, 40).into_iter().collect();
+        let tried: HashSet<usize> = chosen((3, 0), lookup, seed, 40).into_iter().collect();
         assert_eq!(tried.len(), 3, "seed {seed}: {tried:?}");
     }
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -11,7 +11,8 @@
 use rand::{Rng as _, SeedableRng as _};
 use sailtrack_admission::Pressure;
 use sailtrack_placement::{
-    Candidate, Level, News, PaceNews, Recent, Sample, Side, Sides, Speed, Times, choose,
+    Average, Candidate, Candidates, Latencies, LoadReport, Locality, PaceReport, Sample, Shortlist,
+    Speed, choose,
 };
 use sailtrack_units::{KindName, Pace};
 
@@ -130,14 +131,14 @@
 
 struct Sender {
     domain: usize,
-    times: Times,
+    times: Latencies,
     speeds: Vec<Speed>,
-    news: Vec<News>,
-    paces: Vec<PaceNews>,
+    news: Vec<LoadReport>,
+    paces: Vec<PaceReport>,
     outstanding: Vec<u32>,
-    recent: Recent,
+    shortlist: Shortlist,
     /// How full the upstreams of the own domain are, and those of the others.
-    levels: [Level; 2],
+    levels: [Average; 2],
     /// What two draws know of the pressure.
     told: Vec<Option<(Pressure, Instant)>>,
     near: Vec<usize>,
@@ -149,9 +150,9 @@
 impl Sender {
     fn hear(&mut self, load: &Load, upstream: usize, now: Instant, pressure: Pressure) {
         let is_far = load.upstreams[upstream].domain != self.domain;
-        self.levels[usize::from(is_far)].note(now, pressure.0);
+        self.levels[usize::from(is_far)].record(now, pressure.0);
         let outstanding = self.outstanding[upstream];
-        self.news[upstream].note(now, pressure, outstanding);
+        self.news[upstream].record(now, pressure, outstanding);
         self.told[upstream] = Some((pressure, now));
     }
 }
@@ -187,13 +188,13 @@
         let (near, far) = (0..count).partition(is_near);
         Sender {
             domain,
-            times: Times::default(),
+            times: Latencies::default(),
             speeds: vec![Speed::default(); count],
-            news: vec![News::default(); count],
-            paces: vec![PaceNews::default(); count],
+            news: vec![LoadReport::default(); count],
+            paces: vec![PaceReport::default(); count],
             outstanding: vec![0; count],
-            recent: Recent::default(),
-            levels: [Level::default(); 2],
+            shortlist: Shortlist::default(),
+            levels: [Average::default(); 2],
             told: vec![None; count],
             near,
             far,
@@ -283,7 +284,7 @@
                     let pressure = Pressure::from_percent(u32::try_from(percent).expect("small"));
                     let own = &mut self.senders[sender];
                     own.hear(self.load, upstream, now, pressure);
-                    own.paces[upstream].note(now, Pace::from_percent(pace).expect("sound"));
+                    own.paces[upstream].record(now, Pace::from_percent(pace).expect("sound"));
                 }
             }
         }
@@ -368,7 +369,7 @@
             news,
             paces,
             outstanding,
-            recent,
+            shortlist,
             near,
             far,
             means,
@@ -403,30 +404,31 @@
                 (near, far) => near.or(far).expect("some upstream"),
             };
         }
-        let place = |side, place: usize| match side {
-            Side::Near => near[place],
-            Side::Far => far[place],
+        let place = |locality, place: usize| match locality {
+            Locality::SameDomain => near[place],
+            Locality::OtherDomain => far[place],
         };
-        let sides = Sides {
-            near: near.len(),
-            far: far.len(),
-            look: |side, at| {
-                let at = place(side, at);
-                let level = &levels[usize::from(side == Side::Far)];
+        let candidates = Candidates {
+            same_domain: near.len(),
+            other_domains: far.len(),
+            lookup: |locality, at| {
+                let at = place(locality, at);
+                let level = &levels[usize::from(locality == Locality::OtherDomain)];
                 Some(Candidate {
                     is_available: true,
                     pressure: news[at].pressure(now, outstanding[at], slots(at), level).0,
-                    failing: 0.0,
+                    failure_rate: 0.0,
                     slowness: speeds[at].slowness(now) * paces[at].factor(now),
-                    doubt: speeds[at].doubt(),
+                    uncertainty: speeds[at].uncertainty(),
                 })
             },
-            emptier: levels[0].at(now) - levels[1].at(now),
-            recent,
+            pressure_gap: levels[0].at(now) - levels[1].at(now),
+            shortlist,
         };
-        let need = times.need(&self.names[kind], timeout);
-        let (side, at) = choose(&sides, &need, &mut self.random).expect("some upstream");
-        place(side, at)
+        let estimate = times.estimate(&self.names[kind], timeout);
+        let (locality, at) =
+            choose(&candidates, &estimate, &mut self.random).expect("some upstream");
+        place(locality, at)
     }
 
     /// Returns how many times as long as usual work takes now.
@@ -520,7 +522,7 @@
             time,
             pressure: pressure.0,
             pace: f64::from(pace) / 100.0,
-            is_whole: true,
+            is_answered: true,
         };
         let mean = &mut self.senders[sender].means[upstream];
         let known = mean.unwrap_or(time.as_secs_f64());
@@ -553,7 +555,7 @@
             time: Duration::from_micros(self.now - ended.began),
             pressure: 0.0,
             pace,
-            is_whole: false,
+            is_answered: false,
         };
         self.learn(&ended, sample);
     }
@@ -574,6 +576,7 @@
         let now = self.instant();
         let own = &mut self.senders[ended.sender];
         let speed = &mut own.speeds[ended.upstream];
-        own.times.note(&self.names[ended.kind], speed, now, sample);
+        own.times
+            .record(&self.names[ended.kind], speed, now, sample);
     }
 }
