--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -103,7 +103,7 @@
                 told: beat.address,
             });
         }
-        if beat.upstream.born().is_none() && self.upstream.tells_start() {
+        if beat.upstream.started().is_none() && self.upstream.reports_start() {
             return Err(AnnouncementError::Start);
         }
         Ok(())
@@ -144,8 +144,8 @@
     fn take_ready(self: &Rc<Self>, beat: Beat) {
         let now = Instant::now();
         // At a first start what left is what this process has heard of itself.
-        if self.first_start || !self.upstream.is_new(&beat, now) {
-            self.upstream.take(&beat, now);
+        if self.first_start || !self.upstream.is_new_incarnation(&beat, now) {
+            self.upstream.handle_heartbeat(&beat, now);
             return;
         }
         if self.looking.replace(true) {
@@ -155,7 +155,9 @@
         task::spawn("upstream lookup", async move {
             if !announcements.has_left(&beat.upstream).await {
                 announcements.hear_news().await;
-                announcements.upstream.take(&beat, Instant::now());
+                announcements
+                    .upstream
+                    .handle_heartbeat(&beat, Instant::now());
             }
             announcements.looking.set(false);
         });
--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -9,14 +9,14 @@
 
 /// the rest of the body was lost
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub(crate) struct Broken;
+pub(crate) struct Truncated;
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Truncated {}
 
 /// Where the rest of a streamed body comes from; each piece is read only when it is asked for.
 pub(crate) trait Source {
     /// Returns the next bytes, or nothing once the body is whole.
-    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Broken>>;
+    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Truncated>>;
 }
 
 /// A body that is passed on while it is read.
@@ -38,7 +38,7 @@
     }
 
     /// Returns the next bytes, or nothing once the body is whole.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Truncated> {
         self.source.next().await
     }
 }
--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -143,7 +143,7 @@
     }
 
     /// Notes what became of a call made for the request.
-    pub(crate) fn note(&self, returned: &Returned) {
+    pub(crate) fn record_result(&self, returned: &Returned) {
         let met = returned.met_pressure();
         self.pressure.set(self.pressure.get().greater(met));
         if returned.is_success() {
--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -103,14 +103,15 @@
 fn absence_goes_up() {
     let contexts = Rc::new(Contexts::default());
     let open = contexts.open(&work("a"), &upstream());
-    open.context.note(&Returned::refused(Reason::Overload));
+    open.context
+        .record_result(&Returned::refused(Reason::Overload));
     assert!(!open.context.absent_below.get());
     let call = Returned {
         failed_below: true,
         absent_below: true,
         ..Returned::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
     };
-    open.context.note(&call);
+    open.context.record_result(&call);
     assert!(open.context.absent_below.get());
     let nobody = Returned::refused(Reason::NoUpstream);
     assert!(nobody.found_nobody() && call.found_nobody());
--- a/crates/mesh/src/entry/answering.rs
+++ b/crates/mesh/src/entry/answering.rs
@@ -96,7 +96,7 @@
             && next != Next::Close
             && let Some(identity) = trail.identity()
         {
-            self.entry.dispatcher.quarantine.note_good_end(&identity);
+            self.entry.dispatcher.quarantine.record_success(&identity);
         }
         next
     }
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -157,7 +157,7 @@
         Err(Late) => look_once_more(incoming.deadline, dispatch).await,
     };
     if let Some(parent) = &incoming.parent {
-        parent.note(&returned);
+        parent.record_result(&returned);
     }
     returned
 }
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -16,7 +16,7 @@
     BodyError, BodyRest, Framing, HeadError, MessageError, ResponseHead, response_framing,
 };
 
-use crate::body::{Body, Broken, Source, Stream};
+use crate::body::{Body, Source, Stream, Truncated};
 use crate::dialect::FieldNames;
 use crate::gate::pool::{Connection, Pool};
 use crate::key::{AttemptKey, UpstreamKey};
@@ -98,7 +98,7 @@
 }
 
 impl Source for UpstreamSource {
-    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Broken>> {
+    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Truncated>> {
         async {
             if let Some(first) = self.first.take() {
                 return Ok(Some(first));
@@ -106,7 +106,7 @@
             let piece = self.connection.reader.piece(&mut self.rest);
             match timeout(PIECE_TIME, piece).await {
                 Ok(Ok(piece)) => Ok(piece),
-                Ok(Err(_)) | Err(_) => Err(Broken),
+                Ok(Err(_)) | Err(_) => Err(Truncated),
             }
         }
         .boxed_local()
--- a/crates/mesh/src/gate/loss.rs
+++ b/crates/mesh/src/gate/loss.rs
@@ -60,7 +60,7 @@
             if !self.upstream.was_replaced(upstream) {
                 self.upstream.note_unreachable(Instant::now());
             }
-            self.quarantine.note_crash(upstream, &ran);
+            self.quarantine.record_crash(upstream, &ran);
         }
         true
     }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -229,18 +229,18 @@
     }
 
     /// Takes in how many connections the own upstream accepts.
-    pub(crate) fn bound_connections(&self, connections: usize) {
+    pub(crate) fn limit_connections(&self, connections: usize) {
         self.pool.bound(connections);
     }
 
     /// Takes in the longest time that any request may take.
-    pub(crate) fn bound_time(&self, time: Duration) {
+    pub(crate) fn limit_request_time(&self, time: Duration) {
         self.longest.set(time);
     }
 
     /// Takes in that another life of the upstream begins: unused connections lead to an earlier
     /// one, and what broke its connections just before may have ended it.
-    pub(crate) fn note_new_life(&self) {
+    pub(crate) fn handle_new_incarnation(&self) {
         self.pool.clear();
         self.room.clear();
         self.adopt();
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -48,7 +48,7 @@
             Waited::Silent => Returned::unknown(Reason::Connection),
         };
         if returned.outcome == Outcome::Done {
-            self.quarantine.note_answered(&work.identity);
+            self.quarantine.record_answer(&work.identity);
             sent.note_answer(&returned, self.upstream.report.slowness());
         }
         Returned {
--- a/crates/mesh/src/gate/upstream.rs
+++ b/crates/mesh/src/gate/upstream.rs
@@ -56,7 +56,7 @@
 impl Life {
     /// Returns true if a beat comes from this life, as far as it says.
     fn is(&self, beat: &Beat) -> bool {
-        self.key.is_same_life(&beat.upstream)
+        self.key.is_same_incarnation(&beat.upstream)
     }
 
     /// Returns true if a beat of an earlier life has to be ignored beside this one.
@@ -93,7 +93,7 @@
     life: RefCell<Option<Life>>,
     ending: RefCell<Ending>,
     /// The upstream tells when it was started; what comes without that is not from it.
-    tells_start: Cell<bool>,
+    reports_start: Cell<bool>,
     /// The last life that another one followed although it had not said that it leaves.
     replaced: RefCell<Option<UpstreamKey>>,
     unreachable_until: Cell<Option<Instant>>,
@@ -118,7 +118,7 @@
             retired,
             life: RefCell::default(),
             ending: RefCell::new(Ending::new()),
-            tells_start: Cell::new(false),
+            reports_start: Cell::new(false),
             replaced: RefCell::default(),
             unreachable_until: Cell::default(),
             report: Report::default(),
@@ -130,12 +130,12 @@
     }
 
     /// Calls `begun` whenever a new life of the upstream takes requests.
-    pub(crate) fn listen_to_new(&self, begun: impl Fn() + 'static) {
+    pub(crate) fn on_new_incarnation(&self, begun: impl Fn() + 'static) {
         self.begun.borrow_mut().push(Box::new(begun));
     }
 
     /// Calls `changed` whenever the upstream starts or ceases to take requests.
-    pub(crate) fn listen(&self, changed: impl Fn() + 'static) {
+    pub(crate) fn on_availability_change(&self, changed: impl Fn() + 'static) {
         self.changed.borrow_mut().push(Box::new(changed));
     }
 
@@ -177,12 +177,12 @@
     }
 
     /// Returns true if the upstream tells when it was started.
-    pub(crate) fn tells_start(&self) -> bool {
-        self.tells_start.get()
+    pub(crate) fn reports_start(&self) -> bool {
+        self.reports_start.get()
     }
 
     /// Returns true if a beat tells of a life that may get requests and is not the present one.
-    pub(crate) fn is_new(&self, beat: &Beat, now: Instant) -> bool {
+    pub(crate) fn is_new_incarnation(&self, beat: &Beat, now: Instant) -> bool {
         let known = self.life.borrow();
         let is_known = known
             .as_ref()
@@ -191,7 +191,7 @@
     }
 
     /// Takes in a beat of a life that takes requests; one that came late or is retired is ignored.
-    pub(crate) fn take(&self, beat: &Beat, now: Instant) {
+    pub(crate) fn handle_heartbeat(&self, beat: &Beat, now: Instant) {
         if self.retired.contains(&beat.upstream) {
             return;
         }
@@ -235,8 +235,8 @@
     }
 
     fn note_start(&self, beat: &Beat) {
-        if beat.upstream.born().is_some() {
-            self.tells_start.set(true);
+        if beat.upstream.started().is_some() {
+            self.reports_start.set(true);
         }
     }
 
@@ -300,9 +300,9 @@
     /// does not tell its start, the present one with its id.
     pub(crate) fn retire(&self, upstream: &UpstreamKey, reason: &str) -> UpstreamKey {
         let present = self.life.borrow().as_ref().map(|life| life.key.clone());
-        let present = present.filter(|key| key.is_same_life(upstream));
+        let present = present.filter(|key| key.is_same_incarnation(upstream));
         let retired = match &present {
-            Some(key) if upstream.born().is_none() => key.clone(),
+            Some(key) if upstream.started().is_none() => key.clone(),
             _ => upstream.clone(),
         };
         self.retired.note(retired.clone());
--- a/crates/mesh/src/gate/upstream/tests.rs
+++ b/crates/mesh/src/gate/upstream/tests.rs
@@ -23,8 +23,8 @@
     assert_eq!(limits, [1, 1, 19, 60, 107]);
 }
 
-fn key(id: &str, born: Option<u64>) -> UpstreamKey {
-    UpstreamKey::new(id, born.map(Timestamp)).expect("a sound id")
+fn key(id: &str, started: Option<u64>) -> UpstreamKey {
+    UpstreamKey::new(id, started.map(Timestamp)).expect("a sound id")
 }
 
 fn beat(upstream: UpstreamKey, sequence: u64) -> Beat {
@@ -48,9 +48,9 @@
 fn started_again() {
     let now = Instant::now();
     let upstream = upstream(now);
-    upstream.take(&beat(key("i-1", Some(FIRST)), 50), now);
+    upstream.handle_heartbeat(&beat(key("i-1", Some(FIRST)), 50), now);
     let first = upstream.ended();
-    upstream.take(&beat(key("i-1", Some(SECOND)), 1), now);
+    upstream.handle_heartbeat(&beat(key("i-1", Some(SECOND)), 1), now);
     assert_eq!(upstream.ready(now), Some(key("i-1", Some(SECOND))));
     let has_ended = |ended| futures::FutureExt::now_or_never(ended).is_some();
     assert!(has_ended(first), "who waits for the first is told");
@@ -61,11 +61,11 @@
 fn late_beat() {
     let now = Instant::now();
     let upstream = upstream(now);
-    upstream.take(&beat(key("i-2", Some(SECOND)), 1), now);
+    upstream.handle_heartbeat(&beat(key("i-2", Some(SECOND)), 1), now);
     let late = beat(key("i-1", Some(FIRST)), 50);
     let soon = now + SILENCE / 2;
-    assert!(!upstream.is_new(&late, soon));
-    upstream.take(&late, soon);
+    assert!(!upstream.is_new_incarnation(&late, soon));
+    upstream.handle_heartbeat(&late, soon);
     assert_eq!(upstream.ready(now), Some(key("i-2", Some(SECOND))));
 }
 
@@ -75,13 +75,13 @@
     let now = Instant::now();
     let upstream = upstream(now);
     let (later, earlier) = (key("i-1", Some(SECOND)), key("i-1", Some(FIRST)));
-    upstream.take(&beat(later.clone(), 1), now);
+    upstream.handle_heartbeat(&beat(later.clone(), 1), now);
     let now = now + SILENCE;
     let only_one = beat(earlier.clone(), 9);
-    assert!(upstream.is_new(&only_one, now));
-    upstream.take(&only_one, now);
+    assert!(upstream.is_new_incarnation(&only_one, now));
+    upstream.handle_heartbeat(&only_one, now);
     assert_eq!(upstream.ready(now), Some(earlier));
-    upstream.take(&beat(later.clone(), 2), now);
+    upstream.handle_heartbeat(&beat(later.clone(), 2), now);
     assert_eq!(upstream.ready(now), Some(later), "it was only silent");
 }
 
@@ -92,9 +92,9 @@
     let upstream = upstream(now);
     let begun = Rc::new(Cell::new(0));
     let count = Rc::clone(&begun);
-    upstream.listen_to_new(move || count.set(count.get() + 1));
-    upstream.take(&beat(key("i-1", None), 0), now);
-    upstream.take(&beat(key("i-1", Some(FIRST)), 0), now);
+    upstream.on_new_incarnation(move || count.set(count.get() + 1));
+    upstream.handle_heartbeat(&beat(key("i-1", None), 0), now);
+    upstream.handle_heartbeat(&beat(key("i-1", Some(FIRST)), 0), now);
     assert_eq!(begun.get(), 1);
     assert_eq!(upstream.ready(now), Some(key("i-1", Some(FIRST))));
 }
@@ -104,14 +104,14 @@
     let now = Instant::now();
     let upstream = upstream(now);
     let second = key("i-1", Some(SECOND));
-    upstream.take(&beat(second.clone(), 1), now);
+    upstream.handle_heartbeat(&beat(second.clone(), 1), now);
     upstream.retire(&key("i-1", Some(FIRST)), "leaving");
     assert_eq!(upstream.ready(now), Some(second.clone()));
     let retired = upstream.retire(&key("i-1", None), "goodbye");
     assert_eq!(retired, second, "the present one is meant");
     assert_eq!(upstream.ready(now), None);
-    upstream.take(&beat(second, 2), now);
+    upstream.handle_heartbeat(&beat(second, 2), now);
     assert_eq!(upstream.ready(now), None);
-    upstream.take(&beat(key("i-1", Some(SECOND + 1)), 1), now);
+    upstream.handle_heartbeat(&beat(key("i-1", Some(SECOND + 1)), 1), now);
     assert!(upstream.ready(now).is_some(), "the next life has not left");
 }
--- a/crates/mesh/src/life.rs
+++ b/crates/mesh/src/incarnation.rs
@@ -9,13 +9,13 @@
 const RANDOM_BITS: u32 = 12;
 
 /// Returns a number that no other life of a node has.
-pub(crate) fn begin() -> Incarnation {
+pub(crate) fn generate() -> Incarnation {
     let random = rand::rng().random_range(0..1 << RANDOM_BITS);
     Incarnation(Timestamp::now().0 << RANDOM_BITS | random)
 }
 
 /// Returns how much earlier one life began than another, by the clocks of their instances.
-pub(crate) fn time_between(earlier: Incarnation, later: Incarnation) -> Duration {
+pub(crate) fn start_difference(earlier: Incarnation, later: Incarnation) -> Duration {
     let millis = (later.0 >> RANDOM_BITS).saturating_sub(earlier.0 >> RANDOM_BITS);
     Duration::from_millis(millis)
 }
--- a/crates/mesh/src/key/tests.rs
+++ b/crates/mesh/src/key/tests.rs
@@ -4,8 +4,8 @@
 
 use crate::key::UpstreamKey;
 
-fn key(id: &str, born: Option<u64>) -> UpstreamKey {
-    UpstreamKey::new(id, born.map(Timestamp)).expect("a sound id")
+fn key(id: &str, started: Option<u64>) -> UpstreamKey {
+    UpstreamKey::new(id, started.map(Timestamp)).expect("a sound id")
 }
 
 #[test]
@@ -21,9 +21,9 @@
 #[test]
 fn same_life() {
     let (first, second) = (key("i-1", Some(5)), key("i-1", Some(6)));
-    assert!(!first.is_same_life(&second));
-    assert!(first.is_same_life(&key("i-1", None)));
-    assert!(!first.is_same_life(&key("i-2", Some(5))));
+    assert!(!first.is_same_incarnation(&second));
+    assert!(first.is_same_incarnation(&key("i-1", None)));
+    assert!(!first.is_same_incarnation(&key("i-2", Some(5))));
     assert!(first.is_older_than(&second));
     assert!(!second.is_older_than(&first));
     assert!(!key("i-1", None).is_older_than(&second));
--- a/crates/mesh/src/key/upstream.rs
+++ b/crates/mesh/src/key/upstream.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamKey {
     id: Rc<str>,
-    born: Option<Timestamp>,
+    started: Option<Timestamp>,
 }
 
 /// Why a text names no life of an upstream.
@@ -27,19 +27,19 @@
     /// an id of an upstream must not be empty or contain a slash: {0:?}
     Id(String),
     /// after the slash must stand a whole number of milliseconds: {0:?}
-    Born(String),
+    StartTime(String),
 }
 
 impl std::error::Error for KeyError {}
 
 impl UpstreamKey {
     /// Returns the key of the life with this id that was started at this time.
-    pub fn new(id: &str, born: Option<Timestamp>) -> Result<Self, KeyError> {
+    pub fn new(id: &str, started: Option<Timestamp>) -> Result<Self, KeyError> {
         if id.is_empty() || id.contains(SEPARATOR) {
             return Err(KeyError::Id(id.to_owned()));
         }
         let id = Rc::from(id);
-        Ok(Self { id, born })
+        Ok(Self { id, started })
     }
 
     /// Returns the id, which later lives may share.
@@ -50,14 +50,14 @@
 
     /// Returns when this life was started, if it tells that.
     #[must_use]
-    pub fn born(&self) -> Option<Timestamp> {
-        self.born
+    pub fn started(&self) -> Option<Timestamp> {
+        self.started
     }
 
     /// Returns true if both name the same life, as far as they say.
     #[must_use]
-    pub fn is_same_life(&self, other: &Self) -> bool {
-        let is_same_start = match (self.born, other.born) {
+    pub fn is_same_incarnation(&self, other: &Self) -> bool {
+        let is_same_start = match (self.started, other.started) {
             (Some(one), Some(two)) => one == two,
             _ => true,
         };
@@ -67,14 +67,14 @@
     /// Returns true if both tell their start and this one is the earlier.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
-        matches!((self.born, other.born), (Some(one), Some(two)) if one < two)
+        matches!((self.started, other.started), (Some(one), Some(two)) if one < two)
     }
 }
 
 impl fmt::Display for UpstreamKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(f, "{}{SEPARATOR}{}", self.id, born.0),
+        match self.started {
+            Some(started) => write!(f, "{}{SEPARATOR}{}", self.id, started.0),
             None => f.write_str(&self.id),
         }
     }
@@ -84,11 +84,11 @@
     type Err = KeyError;
 
     fn from_str(text: &str) -> Result<Self, KeyError> {
-        let Some((id, born)) = text.split_once(SEPARATOR) else {
+        let Some((id, started)) = text.split_once(SEPARATOR) else {
             return Self::new(text, None);
         };
-        let millis = born.parse();
-        let born = millis.map_err(|_| KeyError::Born(born.to_owned()))?;
-        Self::new(id, Some(Timestamp(born)))
+        let millis = started.parse();
+        let started = millis.map_err(|_| KeyError::StartTime(started.to_owned()))?;
+        Self::new(id, Some(Timestamp(started)))
     }
 }
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -92,12 +92,12 @@
     }
 
     fn take_evidence(&self, evidence: &Evidence) {
-        self.quarantine.take(evidence);
+        self.quarantine.merge(evidence);
     }
 
     fn take_lost(&self, upstream: &UpstreamKey, ran: &[Ran]) {
         if !self.retired.contains(upstream) {
-            self.quarantine.note_lost(upstream, ran);
+            self.quarantine.record_remote_crash(upstream, ran);
         }
     }
 }
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -22,7 +22,7 @@
 use crate::events::Events;
 use crate::freshness::Freshness;
 use crate::gate::{Builder as GateBuilder, Gate, Records, Upstream};
-use crate::life;
+use crate::incarnation;
 use crate::metrics::Metrics;
 use crate::news::Listener;
 use crate::node::{ADMISSION_RULES, Surroundings, store, tasks};
@@ -147,7 +147,7 @@
         table.find()?,
         settings.revoke_time.map(|time| time.0),
     ));
-    let life_number = life::begin();
+    let life_number = incarnation::generate();
     table.install(Quotas::new(
         QuotaPlace {
             node: identity.name.clone(),
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -45,15 +45,15 @@
             .as_ref()
             .and_then(|known| known.service(&service));
         if let Some(rules) = rules {
-            gate.bound_connections(rules.connections);
+            gate.limit_connections(rules.connections);
         }
         if let Some(known) = &configuration {
-            gate.bound_time(known.longest_timeout());
+            gate.limit_request_time(known.longest_timeout());
         }
     });
     let gate = table.find::<Gate>()?;
     let upstream = table.find::<Upstream>()?;
-    upstream.listen_to_new(move || gate.note_new_life());
+    upstream.on_new_incarnation(move || gate.handle_new_incarnation());
     let metrics = table.find::<Metrics>()?;
     let counted = Rc::clone(&current);
     current.listen(move || {
@@ -62,7 +62,7 @@
     let status = table.find::<Status>()?;
     let told = Rc::clone(&status);
     current.listen(move || told.publish());
-    upstream.listen(move || status.publish());
+    upstream.on_availability_change(move || status.publish());
     Ok(())
 }
 
@@ -121,7 +121,7 @@
     let peers = table.find::<Peers>()?;
     let life = table.find::<Status>()?.life;
     let started = Instant::now();
-    table.find::<Upstream>()?.listen_to_new(move || {
+    table.find::<Upstream>()?.on_new_incarnation(move || {
         if started.elapsed() > YOUNG_TIME {
             return;
         }
--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -102,7 +102,7 @@
         self.meet(&said);
         let introduction = Body::Presence(self.status.introduction());
         let welcome = [hello(self.status.member()), introduction];
-        let welcome = welcome.into_iter().chain(self.quarantine.introduction());
+        let welcome = welcome.into_iter().chain(self.quarantine.snapshot());
         for message in welcome {
             if outgoing.send(message).await.is_err() {
                 return;
--- a/crates/mesh/src/peer/link/lost.rs
+++ b/crates/mesh/src/peer/link/lost.rs
@@ -36,6 +36,6 @@
     pub(super) fn settle(&self, present: &str) -> Option<(UpstreamKey, Vec<Ran>)> {
         let present: UpstreamKey = present.parse().ok()?;
         let (upstream, ran) = self.0.take()?;
-        (!upstream.is_same_life(&present)).then_some((upstream, ran))
+        (!upstream.is_same_incarnation(&present)).then_some((upstream, ran))
     }
 }
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -25,8 +25,8 @@
 pub(crate) use link::{Delivery, Link};
 
 use crate::directory::{Member, Observer};
+use crate::incarnation;
 use crate::key::UpstreamKey;
-use crate::life;
 use crate::routing::{Levels, PeerLoad};
 use crate::store::StoreTime;
 use crate::watch::Place;
@@ -138,7 +138,7 @@
     pub(crate) fn are_older(&self, life: Incarnation, time: Duration) -> bool {
         let links = self.links.borrow();
         let open: Vec<_> = links.values().filter(|link| link.is_open()).collect();
-        let is_older = |link: &&&Rc<Link>| life::time_between(link.life(), life) >= time;
+        let is_older = |link: &&&Rc<Link>| incarnation::start_difference(link.life(), life) >= time;
         open.iter().filter(is_older).count() * 2 > open.len()
     }
 
--- a/crates/mesh/src/peer/source.rs
+++ b/crates/mesh/src/peer/source.rs
@@ -8,7 +8,7 @@
 use futures::{FutureExt as _, StreamExt as _};
 use sailtrack_wire::Chunk;
 
-use crate::body::{Broken, Source};
+use crate::body::{Source, Truncated};
 use crate::peer::link::Link;
 
 /// A body that another node sends as it is asked for.
@@ -35,14 +35,14 @@
 }
 
 impl Source for LinkSource {
-    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Broken>> {
+    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Truncated>> {
         async {
             let Some(chunk) = self.chunks.next().await else {
-                return Err(Broken);
+                return Err(Truncated);
             };
             self.ended = chunk.last || chunk.broken;
             if chunk.broken {
-                return Err(Broken);
+                return Err(Truncated);
             }
             if chunk.last {
                 return Ok(None);
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes in that the own upstream crashed, and tells all other nodes.
-    pub(crate) fn note_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
+    pub(crate) fn record_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
         self.events.note_crash(upstream, ran);
         self.metrics.note_crash();
         let now = clock::now();
@@ -79,14 +79,14 @@
 
     /// Takes in that a life of an upstream beside another node ended under requests that this one
     /// had sent there, since the other node ended as well and could not tell.
-    pub(crate) fn note_lost(&self, upstream: &UpstreamKey, ran: &[Ran]) {
+    pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, ran: &[Ran]) {
         self.take_crash(&upstream.to_string(), ran, false);
         self.status
             .tell(&Body::Evidence(wire::crash(upstream, ran, false)));
     }
 
     /// Takes in that a request was answered to its end.
-    pub(crate) fn note_good_end(&self, identity: &Identity) {
+    pub(crate) fn record_success(&self, identity: &Identity) {
         let before = self
             .ledger
             .borrow_mut()
@@ -98,7 +98,7 @@
     }
 
     /// Takes in that the own upstream answered a request.
-    pub(crate) fn note_answered(&self, identity: &Identity) {
+    pub(crate) fn record_answer(&self, identity: &Identity) {
         let mut ledger = self.ledger.borrow_mut();
         ledger.note_familiar(identity, clock::now());
     }
@@ -112,7 +112,7 @@
     }
 
     /// Takes in what another node knows.
-    pub(crate) fn take(&self, evidence: &Evidence) {
+    pub(crate) fn merge(&self, evidence: &Evidence) {
         let now = clock::now();
         let (crash, cleared, held) = wire::read(evidence);
         if let Some(crash) = crash {
@@ -131,7 +131,7 @@
     }
 
     /// Returns what a node that connects is to know, if there is anything.
-    pub(crate) fn introduction(&self) -> Option<Body> {
+    pub(crate) fn snapshot(&self) -> Option<Body> {
         let records = self.ledger.borrow().to_tell(clock::now());
         (!records.is_empty()).then(|| Body::Evidence(wire::held(&records)))
     }
--- a/crates/mesh/src/retired.rs
+++ b/crates/mesh/src/retired.rs
@@ -62,7 +62,7 @@
     pub(crate) fn contains(&self, upstream: &UpstreamKey) -> bool {
         let by_id = self.by_id.borrow();
         let lives = by_id.get(upstream.id());
-        lives.is_some_and(|lives| lives.iter().any(|life| life.is_same_life(upstream)))
+        lives.is_some_and(|lives| lives.iter().any(|life| life.is_same_incarnation(upstream)))
     }
 
     /// Returns all of them, the oldest first.
