--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -44,9 +44,9 @@
     /// The greatest pressure that a call made for it met.
     pub(crate) pressure: Cell<Pressure>,
     /// Whether a call was made for it.
-    pub(crate) has_called: Cell<bool>,
+    pub(crate) has_made_calls: Cell<bool>,
     /// How many calls made for it were answered well.
-    pub(crate) answered: Cell<u32>,
+    pub(crate) successful_calls: Cell<u32>,
     /// Whether a call made for it failed,
     pub(crate) failed_below: Cell<bool>,
     /// and whether one found no upstream of its service, there or further down.
@@ -76,8 +76,8 @@
             workspace: work.workspace.clone(),
             repeated: work.repeated,
             pressure: Cell::default(),
-            has_called: Cell::new(false),
-            answered: Cell::new(0),
+            has_made_calls: Cell::new(false),
+            successful_calls: Cell::new(0),
             failed_below: Cell::new(false),
             absent_below: Cell::new(false),
         });
@@ -98,7 +98,7 @@
         let mut id = call.as_str();
         while let Some((parent, _)) = id.rsplit_once(SEPARATOR) {
             if let Some(context) = running.get(parent) {
-                context.has_called.set(true);
+                context.has_made_calls.set(true);
                 return Some(Rc::clone(context));
             }
             id = parent;
@@ -147,7 +147,7 @@
         let met = returned.met_pressure();
         self.pressure.set(self.pressure.get().greater(met));
         if returned.is_success() {
-            self.answered.set(self.answered.get() + 1);
+            self.successful_calls.set(self.successful_calls.get() + 1);
         } else {
             self.failed_below.set(true);
         }
--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -155,7 +155,7 @@
             rank: self.rank(),
             class: self.class(),
             workspace,
-            progress: parent.map_or(0, |parent| parent.answered.get()),
+            progress: parent.map_or(0, |parent| parent.successful_calls.get()),
             begun: parent.is_some(),
             repeated: parent.is_some_and(|parent| parent.repeated),
             deadline: self.deadline,
--- a/crates/mesh/src/gate/silence.rs
+++ b/crates/mesh/src/gate/silence.rs
@@ -159,7 +159,7 @@
             doubted: sent.open.doubted(),
             overtaken: sent.open.overtaken(),
             silent: sent.kind.silent(Instant::now()),
-            is_lenient: context.has_called.get() || sent.was_repeated || is_cold,
+            is_lenient: context.has_made_calls.get() || sent.was_repeated || is_cold,
         }
     }
 
