--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -21,7 +21,7 @@
 use sailtrack_units::{Class, KindName, Rank, WorkspaceName};
 
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// Separates the id of a call from that of the request that it is made for.
 const SEPARATOR: char = '.';
@@ -65,7 +65,7 @@
 
 impl Contexts {
     /// Remembers a request until the guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>, work: &Work, upstream: &UpstreamKey) -> Open {
+    pub(crate) fn open(self: &Rc<Self>, work: &Request, upstream: &UpstreamKey) -> Open {
         let context = Rc::new(Context {
             identity: work.identity,
             known_crashes: work.known_crashes,
@@ -74,7 +74,7 @@
             rank: work.rank,
             class: work.class,
             workspace: work.workspace.clone(),
-            repeated: work.repeated,
+            repeated: work.is_retry,
             pressure: Cell::default(),
             has_called: Cell::new(false),
             answered: Cell::new(0),
@@ -143,15 +143,15 @@
     }
 
     /// Notes what became of a call made for the request.
-    pub(crate) fn note(&self, returned: &Returned) {
-        let met = returned.met_pressure();
+    pub(crate) fn note(&self, returned: &Response) {
+        let met = returned.observed_pressure();
         self.pressure.set(self.pressure.get().greater(met));
         if returned.is_success() {
             self.answered.set(self.answered.get() + 1);
         } else {
             self.failed_below.set(true);
         }
-        if returned.found_nobody() {
+        if returned.found_no_upstream() {
             self.absent_below.set(true);
         }
     }
--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -11,11 +11,11 @@
 use crate::clock;
 use crate::contexts::{Context, Contexts};
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// Returns a request with this id whose time is over at once.
-pub(crate) fn work(id: &str) -> Work {
-    Work {
+pub(crate) fn work(id: &str) -> Request {
+    Request {
         workspace: None,
         progress: 0,
         class: Class::default(),
@@ -26,8 +26,8 @@
         kind: "read".parse().expect("a name"),
         idempotent: true,
         rank: Rank::HIGHEST,
-        begun: false,
-        repeated: true,
+        is_nested: false,
+        is_retry: true,
         deadline: clock::now(),
         head: Bytes::new(),
         body: Bytes::new(),
@@ -54,7 +54,7 @@
 #[test]
 fn calls_matter_as_their_request() {
     let contexts = Rc::new(Contexts::default());
-    let low = Work {
+    let low = Request {
         class: Importance::Low.into(),
         rank: Rank::LOWEST,
         ..work("a")
@@ -62,7 +62,7 @@
     let open = contexts.open(&low, &upstream());
     assert_eq!(open.context.call_class(), Importance::Low.into());
     assert_eq!(open.context.call_rank(), Rank::LOWEST);
-    let critical = Work {
+    let critical = Request {
         class: Importance::Critical.into(),
         ..work("b")
     };
@@ -103,25 +103,25 @@
 fn absence_goes_up() {
     let contexts = Rc::new(Contexts::default());
     let open = contexts.open(&work("a"), &upstream());
-    open.context.note(&Returned::refused(Reason::Overload));
+    open.context.note(&Response::refused(Reason::Overload));
     assert!(!open.context.absent_below.get());
-    let call = Returned {
+    let call = Response {
         failed_below: true,
         absent_below: true,
-        ..Returned::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
+        ..Response::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
     };
     open.context.note(&call);
     assert!(open.context.absent_below.get());
-    let nobody = Returned::refused(Reason::NoUpstream);
-    assert!(nobody.found_nobody() && call.found_nobody());
+    let nobody = Response::refused(Reason::NoUpstream);
+    assert!(nobody.found_no_upstream() && call.found_no_upstream());
 }
 
 /// A call that was served in the end found somebody.
 #[test]
 fn absence_that_was_mended() {
-    let served = Returned {
+    let served = Response {
         absent_below: true,
-        ..Returned::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
+        ..Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
     };
-    assert!(!served.found_nobody());
+    assert!(!served.found_no_upstream());
 }
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -23,11 +23,11 @@
 use crate::metrics::Metrics;
 use crate::peer::{Delivery, Link};
 use crate::quarantine::Quarantine;
+use crate::request::{Request, Response};
 use crate::retry::Budget;
 use crate::returns;
 use crate::routing::{Routing, Target};
 use crate::wake::Wake;
-use crate::work::{Returned, Work};
 
 /// How often a request that no upstream has seen is brought elsewhere.
 const MOST_REDIRECTS: u32 = 2;
@@ -99,12 +99,17 @@
     /// How often it was brought elsewhere without having been sent.
     redirects: u32,
     /// The first end after which it may have run; no later refusal can say that it did not.
-    ran: Option<Returned>,
+    ran: Option<Response>,
 }
 
 impl Dispatcher {
     /// Brings a request to its final answer; dropping the future cancels it.
-    pub(crate) async fn dispatch(&self, mut work: Work, route: &Route, trail: &Trail) -> Returned {
+    pub(crate) async fn dispatch(
+        &self,
+        mut work: Request,
+        route: &Route,
+        trail: &Trail,
+    ) -> Response {
         let mut tries = Tries::default();
         let mut last = None;
         self.wake.news().await;
@@ -113,7 +118,7 @@
             // What is held against it may have become known while it ran.
             let standing = self.quarantine.standing(&work.identity);
             if standing.is_quarantined() {
-                last = Some(Returned::refused(Reason::Quarantined));
+                last = Some(Response::refused(Reason::Quarantined));
                 break;
             }
             work.known_crashes = standing.known();
@@ -128,11 +133,11 @@
             }
             let name = target.name(&self.routing.name);
             self.events.note_retry(&work.attempt, name, &returned);
-            if returned.offered {
+            if returned.was_sent {
                 self.metrics.note_repeat(&work.service);
             }
             tries.nodes.push(name.clone());
-            work.repeated |= returned.offered;
+            work.is_retry |= returned.was_sent;
             if returned.outcome == Outcome::NotRun {
                 last = Some(more_telling(last, returned));
             } else if tries.ran.is_none() {
@@ -144,7 +149,7 @@
 
     /// Returns where the request goes next; upstreams that turned it away are asked again when
     /// no other one is left.
-    fn choose(&self, work: &Work, standing: Standing, tries: &mut Tries) -> Option<Target> {
+    fn choose(&self, work: &Request, standing: Standing, tries: &mut Tries) -> Option<Target> {
         if standing != Standing::Clear {
             return self
                 .routing
@@ -159,12 +164,18 @@
     }
 
     /// Returns true if the request may be sent to one more upstream.
-    fn goes_on(&self, work: &Work, route: &Route, returned: &Returned, tries: &mut Tries) -> bool {
+    fn goes_on(
+        &self,
+        work: &Request,
+        route: &Route,
+        returned: &Response,
+        tries: &mut Tries,
+    ) -> bool {
         let is_held_back = matches!(returned.reason, Reason::Quarantined | Reason::OnTrial);
         if returned.is_success() || is_held_back || work.time_left().is_zero() {
             return false;
         }
-        if !returned.offered {
+        if !returned.was_sent {
             tries.redirects += 1;
             return tries.redirects <= MOST_REDIRECTS;
         }
@@ -179,7 +190,7 @@
         may_go_on && self.budget.take(work, clock::now(), nodes)
     }
 
-    async fn attempt(&self, work: &Work, target: &Target) -> Returned {
+    async fn attempt(&self, work: &Request, target: &Target) -> Response {
         let outstanding = self.routing.begin(work, target);
         let returned = match target {
             Target::Local => self.gate.run(work.clone()).await,
@@ -195,7 +206,7 @@
 /// A failure further down was repeated there as far as that helps; the whole request would make
 /// all its calls again. An upstream whose requests wait is no reason: one lost answer in five
 /// calls of a request loses all of them, and while demand is high requests always wait somewhere.
-fn is_hopeless(returned: &Returned) -> bool {
+fn is_hopeless(returned: &Response) -> bool {
     returned.failed_below || returned.path_pressure >= Pressure::REFUSING
 }
 
@@ -203,9 +214,9 @@
 ///
 /// A full upstream stays the reason if the next node that was asked has none: it tells when to
 /// come back, and the services above that they begin too much.
-fn more_telling(before: Option<Returned>, returned: Returned) -> Returned {
+fn more_telling(before: Option<Response>, returned: Response) -> Response {
     let is_room =
-        |returned: &Returned| matches!(returned.reason, Reason::Overload | Reason::UpstreamShed);
+        |returned: &Response| matches!(returned.reason, Reason::Overload | Reason::UpstreamShed);
     match before {
         Some(before)
             if returned.outcome == Outcome::NotRun && !is_room(&returned) && is_room(&before) =>
@@ -217,20 +228,22 @@
 }
 
 /// Returns what is true of a request after its last attempt.
-fn conclude(ran: Option<Returned>, last: Option<Returned>) -> Returned {
+fn conclude(ran: Option<Response>, last: Option<Response>) -> Response {
     match (ran, last) {
         (Some(ran), Some(last)) if last.outcome == Outcome::NotRun => ran,
         (_, Some(last)) => last,
         (Some(ran), None) => ran,
-        (None, None) => Returned::refused(Reason::NoUpstream).come_back(returns::after_absence()),
+        (None, None) => {
+            Response::refused(Reason::NoUpstream).with_retry_after(returns::after_absence())
+        }
     }
 }
 
-async fn attempt_remote(work: &Work, link: &Link) -> Returned {
+async fn attempt_remote(work: &Request, link: &Link) -> Response {
     if !work.idempotent {
         return match link.forward(work).await {
             Delivery::Returned(returned) => returned,
-            Delivery::Unsent => Returned::refused(Reason::Connection),
+            Delivery::Unsent => Response::refused(Reason::Connection),
             Delivery::Lost(life) => link.recall(&work.attempt, life).await,
         };
     }
@@ -238,9 +251,9 @@
     let silence = std::pin::pin!(wait_for_silence(link));
     match select(forward, silence).await {
         Either::Left((Delivery::Returned(returned), _)) => returned,
-        Either::Left((Delivery::Unsent, _)) => Returned::refused(Reason::Connection),
+        Either::Left((Delivery::Unsent, _)) => Response::refused(Reason::Connection),
         Either::Left((Delivery::Lost(_), _)) | Either::Right(_) => {
-            Returned::unknown(Reason::Connection)
+            Response::unknown(Reason::Connection)
         }
     }
 }
--- a/crates/mesh/src/dispatch/tests.rs
+++ b/crates/mesh/src/dispatch/tests.rs
@@ -4,12 +4,12 @@
 use sailtrack_wire::Reason;
 
 use crate::dispatch::{is_hopeless, more_telling};
-use crate::work::Returned;
+use crate::request::Response;
 
-fn lost(pressure: f64) -> Returned {
-    Returned {
+fn lost(pressure: f64) -> Response {
+    Response {
         path_pressure: Pressure(pressure),
-        ..Returned::unknown(Reason::Connection)
+        ..Response::unknown(Reason::Connection)
     }
 }
 
@@ -22,7 +22,7 @@
 
 #[test]
 fn failed_below() {
-    let failed = Returned {
+    let failed = Response {
         failed_below: true,
         ..lost(0.4)
     };
@@ -32,11 +32,11 @@
 /// One upstream is full and the next node has none: the caller is told of the full one.
 #[test]
 fn fullness_is_kept() {
-    let full = || Some(Returned::refused(Reason::Overload));
-    let absent = Returned::refused(Reason::NoUpstream);
+    let full = || Some(Response::refused(Reason::Overload));
+    let absent = Response::refused(Reason::NoUpstream);
     assert_eq!(more_telling(full(), absent).reason, Reason::Overload);
-    let shed = Returned::turned_away(Reason::UpstreamShed);
+    let shed = Response::rejected_by_upstream(Reason::UpstreamShed);
     assert_eq!(more_telling(full(), shed).reason, Reason::UpstreamShed);
-    let lost = Returned::unknown(Reason::Connection);
+    let lost = Response::unknown(Reason::Connection);
     assert_eq!(more_telling(full(), lost).reason, Reason::Connection);
 }
--- a/crates/mesh/src/entry/admission.rs
+++ b/crates/mesh/src/entry/admission.rs
@@ -9,8 +9,8 @@
 use crate::entry::KeyRefusal;
 use crate::entry::request::Incoming;
 use crate::quota::{Shortage, Token};
+use crate::request::Response;
 use crate::returns;
-use crate::work::Returned;
 
 /// When a client of a node that is about to end may come back; it finds another node at once.
 const CLOSED_RETURN: Duration = Duration::from_millis(100);
@@ -20,7 +20,7 @@
     /// Nobody is known to ask.
     Key(KeyRefusal),
     /// It may come back.
-    NotNow(Box<Returned>),
+    NotNow(Box<Response>),
 }
 
 impl Entry {
@@ -33,7 +33,7 @@
         // A key that is not known may be new.
         if has_key && !self.freshness.is_enough(clock::now()) {
             let after = returns::after_outage();
-            let returned = Returned::refused(Reason::KeysOutdated).come_back(after);
+            let returned = Response::refused(Reason::KeysOutdated).with_retry_after(after);
             return Err(Denial::NotNow(Box::new(returned)));
         }
         match incoming.caller {
@@ -43,7 +43,7 @@
     }
 
     /// Takes a token for a request if its workspace has a limit.
-    pub(super) async fn take_token(&self, incoming: &Incoming) -> Result<Option<Token>, Returned> {
+    pub(super) async fn take_token(&self, incoming: &Incoming) -> Result<Option<Token>, Response> {
         let workspace = incoming.workspace();
         let Some(limited) = workspace.filter(|workspace| workspace.limit.is_some()) else {
             return Ok(None);
@@ -53,12 +53,12 @@
             Err(Shortage::Over(after)) => (Reason::OverQuota, after),
             Err(Shortage::NoAllocator) => (Reason::QuotaNotKnown, returns::after_outage()),
         };
-        Err(Returned::refused(reason).come_back(after))
+        Err(Response::refused(reason).with_retry_after(after))
     }
 
     /// Refuses a request of a client that comes too late to be finished before the node ends.
-    pub(super) fn refuse_late(&self, incoming: &Incoming) -> Option<Returned> {
+    pub(super) fn refuse_late(&self, incoming: &Incoming) -> Option<Response> {
         let is_late = self.closed.get() && incoming.parent.is_none();
-        is_late.then(|| Returned::refused(Reason::Draining).come_back(CLOSED_RETURN))
+        is_late.then(|| Response::refused(Reason::Draining).with_retry_after(CLOSED_RETURN))
     }
 }
--- a/crates/mesh/src/entry/answer.rs
+++ b/crates/mesh/src/entry/answer.rs
@@ -7,7 +7,7 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use crate::body::{Body, Stream};
-use crate::work::Returned;
+use crate::request::Response;
 
 /// The part of the time left after which a client is asked to come back at the latest.
 const RETURN_SHARE: u32 = 3;
@@ -41,7 +41,7 @@
 
 impl Refusal {
     /// Returns why a request ends without an answer of an upstream, if it does.
-    pub(super) fn of(returned: &Returned) -> Option<Self> {
+    pub(super) fn of(returned: &Response) -> Option<Self> {
         match (returned.outcome, returned.reason) {
             (Outcome::Done, _) => None,
             (Outcome::NotRun, Reason::Quarantined) => Some(Self::Harmful),
@@ -136,7 +136,7 @@
 }
 
 /// Returns what is written about what became of a request.
-pub(super) fn conclude(returned: Returned, asked: Asked) -> Written {
+pub(super) fn conclude(returned: Response, asked: Asked) -> Written {
     let Some(refusal) = Refusal::of(&returned) else {
         return pass_on(returned, asked);
     };
@@ -146,7 +146,7 @@
     Written::whole(refuse(refusal, after, asked.close), asked.close)
 }
 
-fn pass_on(returned: Returned, asked: Asked) -> Written {
+fn pass_on(returned: Response, asked: Asked) -> Written {
     let mut bytes = BytesMut::with_capacity(returned.head.len() + 256);
     bytes.put_slice(&returned.head);
     let has_no_length = asked.is_head || matches!(returned.status, 204 | 304);
--- a/crates/mesh/src/entry/answering.rs
+++ b/crates/mesh/src/entry/answering.rs
@@ -22,7 +22,7 @@
 use crate::entry::pipeline::Pipeline;
 use crate::entry::request::Incoming;
 use crate::events::End;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// How long a client may take to accept an answer.
 const WRITE_TIME: Duration = Duration::from_secs(30);
@@ -186,7 +186,7 @@
         }
     }
 
-    fn log(&self, incoming: &Incoming, returned: &Returned, trail: &Trail) {
+    fn log(&self, incoming: &Incoming, returned: &Response, trail: &Trail) {
         let refusal = Refusal::of(returned);
         let end = End {
             attempt: &incoming.attempt,
@@ -194,7 +194,7 @@
             status: refusal.map_or(returned.status, Refusal::status),
             trail,
             reason: returned.reason,
-            pressure: returned.met_pressure(),
+            pressure: returned.observed_pressure(),
             failed_below: returned.failed_below,
             workspace: incoming.workspace().map(|workspace| &workspace.name),
             version: self.entry.current.version(),
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -19,7 +19,7 @@
 use crate::entry::memory::Guard;
 use crate::entry::pipeline::{Place, Reservation, Weight};
 use crate::entry::request::{Incoming, Received};
-use crate::work::Returned;
+use crate::request::Response;
 
 /// A timer that fires so late shows that the node stood still.
 const STOOD_STILL: Duration = Duration::from_millis(20);
@@ -39,7 +39,7 @@
 /// A request that has come to its end.
 pub(super) struct Ended {
     pub(super) incoming: Incoming,
-    pub(super) returned: Returned,
+    pub(super) returned: Response,
     pub(super) trail: Trail,
     pub(super) reservation: Reservation,
     pub(super) weight: Weight,
@@ -57,7 +57,7 @@
 /// Returns the end of a request that is not let in.
 pub(super) fn turned_away(
     incoming: Incoming,
-    returned: Returned,
+    returned: Response,
     place: Place,
     closes: bool,
 ) -> Answer {
@@ -104,7 +104,7 @@
 
 fn end(
     incoming: Incoming,
-    returned: Returned,
+    returned: Response,
     trail: Trail,
     mut reservation: Reservation,
     place: Place,
@@ -127,25 +127,25 @@
 ///
 /// Where the node itself stood still, answers may have come meanwhile, or nothing was sent; both
 /// are better for the caller than not to know.
-async fn look_once_more(deadline: Moment, dispatch: impl Future<Output = Returned>) -> Returned {
+async fn look_once_more(deadline: Moment, dispatch: impl Future<Output = Response>) -> Response {
     if clock::now().since(deadline) < STOOD_STILL {
-        return Returned::unknown(Reason::Deadline);
+        return Response::unknown(Reason::Deadline);
     }
     let returned = timeout(LAST_LOOK, dispatch).await;
-    returned.unwrap_or_else(|_| Returned::unknown(Reason::Deadline))
+    returned.unwrap_or_else(|_| Response::unknown(Reason::Deadline))
 }
 
 /// Brings a request to an upstream and back; dropping the future cancels it.
-async fn run(entry: &Entry, incoming: &Incoming, received: Received, trail: &Trail) -> Returned {
+async fn run(entry: &Entry, incoming: &Incoming, received: Received, trail: &Trail) -> Response {
     trail.identify(received.identity);
     let Some(service) = entry.splitter.next(&incoming.route) else {
-        return Returned::refused(Reason::NoUpstream);
+        return Response::refused(Reason::NoUpstream);
     };
     let fields = entry.dialect.fields();
     let work = incoming.work(fields, &entry.service, service, received);
     if work.time_left().is_zero() {
         // It waited for those ahead of it.
-        return Returned::refused(Reason::Deadline);
+        return Response::refused(Reason::Deadline);
     }
     if let Some(returned) = entry.refuse_late(incoming) {
         return returned;
--- a/crates/mesh/src/entry/exchange/tests.rs
+++ b/crates/mesh/src/entry/exchange/tests.rs
@@ -8,7 +8,7 @@
 
 use super::{STOOD_STILL, look_once_more};
 use crate::clock;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// Returns what is told of a request that turns out not to have run a moment after its time was
 /// over, if its timer fires this much too late.
@@ -16,7 +16,7 @@
     let deadline = clock::now().before(late);
     let dispatch = async {
         sleep(Duration::from_millis(1)).await;
-        Returned::refused(Reason::Deadline)
+        Response::refused(Reason::Deadline)
     };
     let returned = runtime::run(look_once_more(deadline, dispatch));
     returned.expect("a runtime").outcome
--- a/crates/mesh/src/entry/reading.rs
+++ b/crates/mesh/src/entry/reading.rs
@@ -19,7 +19,7 @@
 use crate::entry::exchange::{Admitted, Answer, bring, let_in, turned_away};
 use crate::entry::pipeline::{Pipeline, Place};
 use crate::entry::request::{Incoming, Received};
-use crate::work::Returned;
+use crate::request::Response;
 
 /// The most bytes taken in while requests that came before are worked on.
 const MOST_READ_AHEAD: usize = 64 * 1024;
@@ -159,7 +159,7 @@
     }
 
     /// Refuses a request for now; it takes no room, so a body is not read and ends the connection.
-    fn turn_away(&self, incoming: Incoming, returned: Returned, place: Place) -> Result<(), Stop> {
+    fn turn_away(&self, incoming: Incoming, returned: Response, place: Place) -> Result<(), Stop> {
         let has_body = incoming.framing != Framing::None;
         let answer = turned_away(incoming, returned, place, has_body);
         if has_body {
@@ -224,7 +224,7 @@
         let memory = self.entry.memory.take(incoming.framing, limits.body_bytes);
         let Some(memory) = memory else {
             reservation.give_back();
-            let returned = Returned::refused(Reason::Overload).come_back(MEMORY_RETURN);
+            let returned = Response::refused(Reason::Overload).with_retry_after(MEMORY_RETURN);
             let answer = turned_away(incoming, returned, place, true);
             return Err(Stop::Refused(answer));
         };
--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -15,7 +15,7 @@
 use crate::entry::answer::Refusal;
 use crate::entry::caller::{Caller, KeyRefusal};
 use crate::key::AttemptKey;
-use crate::work::Work;
+use crate::request::Request;
 
 /// A request whose body has not been read yet.
 pub(super) struct Incoming {
@@ -139,13 +139,13 @@
         caller: &ServiceName,
         service: ServiceName,
         Received { body, identity }: Received,
-    ) -> Work {
+    ) -> Request {
         let parent = self.parent.as_ref();
         let workspace = match self.workspace() {
             Some(workspace) => Some(workspace.name.clone()),
             None => parent.and_then(|parent| parent.workspace.clone()),
         };
-        Work {
+        Request {
             attempt: self.attempt.clone(),
             identity,
             known_crashes: 0,
@@ -156,8 +156,8 @@
             class: self.class(),
             workspace,
             progress: parent.map_or(0, |parent| parent.answered.get()),
-            begun: parent.is_some(),
-            repeated: parent.is_some_and(|parent| parent.repeated),
+            is_nested: parent.is_some(),
+            is_retry: parent.is_some_and(|parent| parent.repeated),
             deadline: self.deadline,
             head: self.passed_on(fields, caller, body.len()),
             body,
--- a/crates/mesh/src/events.rs
+++ b/crates/mesh/src/events.rs
@@ -23,7 +23,7 @@
 use crate::gate::Finding;
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::metrics::Stage;
-use crate::work::Returned;
+use crate::request::Response;
 use sampler::{Sampler, Verdict};
 
 /// The most requests that the event of a crash names: an upstream runs some hundred at once.
@@ -234,7 +234,7 @@
     }
 
     /// Notes that a request is sent to another upstream.
-    pub(crate) fn note_retry(&self, attempt: &AttemptKey, node: &NodeName, returned: &Returned) {
+    pub(crate) fn note_retry(&self, attempt: &AttemptKey, node: &NodeName, returned: &Response) {
         let reason = returned.reason.as_str_name();
         let outcome = returned.outcome.as_str_name();
         write(
--- a/crates/mesh/src/gate/entered.rs
+++ b/crates/mesh/src/gate/entered.rs
@@ -10,7 +10,7 @@
 use super::single::Turn;
 use super::upstream::Ended;
 use crate::key::UpstreamKey;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// What a request holds while it is in the own upstream.
 pub(super) struct Entered {
@@ -30,12 +30,12 @@
 
 impl Entered {
     /// Notes what the request met further down; `here` is how full its own upstream is.
-    pub(super) fn note(&self, returned: &Returned, here: Pressure) {
+    pub(super) fn note(&self, returned: &Response, here: Pressure) {
         if let Some(outset) = &self.outset {
             let met = Met {
                 here,
                 below: returned.path_pressure,
-                found_nobody: returned.found_nobody(),
+                found_nobody: returned.found_no_upstream(),
             };
             outset.note(Instant::now(), met);
         }
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -20,7 +20,7 @@
 use crate::dialect::FieldNames;
 use crate::gate::pool::{Connection, Pool};
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::work::Work;
+use crate::request::Request;
 
 /// The most bytes of an answer's head.
 const HEAD_BYTES: usize = 64 * 1024;
@@ -120,7 +120,7 @@
     pool: &Pool,
     fields: &FieldNames,
     upstream: &UpstreamKey,
-    work: &Work,
+    work: &Request,
 ) -> Result<UpstreamAnswer, ExchangeError> {
     let taken = pool.take(!work.idempotent).await;
     let mut connection = taken.map_err(ExchangeError::Connect)?;
@@ -197,7 +197,7 @@
     Ok(body.freeze())
 }
 
-fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Work) -> BytesMut {
+fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Request) -> BytesMut {
     let left = work.time_left();
     let own = format!(
         "{}: {}\r\n{}: {}\r\n\r\n",
--- a/crates/mesh/src/gate/exchange/tests.rs
+++ b/crates/mesh/src/gate/exchange/tests.rs
@@ -13,7 +13,7 @@
 use crate::dialect::FieldNames;
 use crate::gate::pool::Pool;
 use crate::key::UpstreamKey;
-use crate::work::Work;
+use crate::request::Request;
 
 const FIELDS: FieldNames = FieldNames {
     attempt: "attempt",
@@ -34,7 +34,7 @@
 fn nothing_sent_too_late() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let pool = Pool::new(listener.local_addr().expect("it is bound"));
-    let late = Work {
+    let late = Request {
         deadline: clock::now().before(Duration::from_millis(1)),
         ..work("a")
     };
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -43,8 +43,8 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::metrics::{Metrics, Stage};
 use crate::quarantine::Quarantine;
+use crate::request::{Request, Response};
 use crate::wake::Wake;
-use crate::work::{Returned, Work};
 pub(crate) use builder::Builder;
 use crash::Watcher;
 use entered::Entered;
@@ -93,14 +93,14 @@
 impl Gate {
     /// Returns how full the own upstream is for requests that matter as much as this one, as far
     /// as it is shared with those who call it from further up.
-    fn shared_pressure(&self, work: &Work) -> Pressure {
+    fn shared_pressure(&self, work: &Request) -> Pressure {
         self.admission.shared_pressure(Instant::now(), work.class)
     }
 
     /// Brings a request to the own upstream and returns what became of it.
     ///
     /// Dropping the future stops a request that may run again, and one that was not sent yet.
-    pub(crate) async fn run(self: &Rc<Self>, work: Work) -> Returned {
+    pub(crate) async fn run(self: &Rc<Self>, work: Request) -> Response {
         let held = Held::new(&self.in_flight);
         let (attempt, kind) = (work.attempt.clone(), work.kind.clone());
         let class = work.class;
@@ -112,7 +112,7 @@
         }
         self.metrics
             .note_end(Stage::Gate, &kind, returned.outcome, returned.reason);
-        Returned {
+        Response {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
             path_pressure: returned.path_pressure.greater(pressure),
@@ -120,7 +120,7 @@
         }
     }
 
-    async fn admit(self: &Rc<Self>, mut work: Work) -> Returned {
+    async fn admit(self: &Rc<Self>, mut work: Request) -> Response {
         let now = Instant::now();
         if self.upstream.is_closed() {
             return self.refuse(&work, Reason::Draining);
@@ -158,12 +158,12 @@
     /// Waits for a slot of the own upstream, and looks again at what may have changed meanwhile.
     async fn enter(
         &self,
-        work: &mut Work,
+        work: &mut Request,
         outset: Option<OutsetPlace>,
-    ) -> Result<Entered, Returned> {
+    ) -> Result<Entered, Response> {
         let permit = self
             .admission
-            .enter_as(work.class, work.rank, work.begun, work.time_left())
+            .enter_as(work.class, work.rank, work.is_nested, work.time_left())
             .await;
         let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
         let Some(upstream) = self.open_upstream(work, Instant::now()) else {
@@ -184,7 +184,7 @@
 
     /// Lets a request in by what is held against it at this moment: it may have waited, and its
     /// sender may know less.
-    fn begin_trial(&self, work: &mut Work) -> Result<Option<Turn>, Reason> {
+    fn begin_trial(&self, work: &mut Request) -> Result<Option<Turn>, Reason> {
         let standing = self.quarantine.standing(&work.identity);
         work.known_crashes = work.known_crashes.max(standing.known());
         match standing {
@@ -198,7 +198,7 @@
     }
 
     /// Runs a request that may run again, for as long as somebody waits for it.
-    async fn run_repeatable(self: &Rc<Self>, work: &Work, entered: Entered) -> Returned {
+    async fn run_repeatable(self: &Rc<Self>, work: &Request, entered: Entered) -> Response {
         let mut returned = self.send(work, &entered, work.deadline).await;
         entered.note(&returned, self.shared_pressure(work));
         returned.body.hold(entered);
@@ -206,7 +206,7 @@
     }
 
     /// Runs a request that must not run twice to its end, whoever still waits for it.
-    async fn run_once(self: &Rc<Self>, work: Work, entered: Entered, place: Place) -> Returned {
+    async fn run_once(self: &Rc<Self>, work: Request, entered: Entered, place: Place) -> Response {
         if !place.start() {
             return self.refuse(&work, Reason::TicketClosed);
         }
@@ -225,7 +225,7 @@
             let _ = sender.send(returned);
         });
         let returned = until_told(deadline, &is_silent, receiver).await;
-        returned.unwrap_or_else(|_| Returned::unknown(Reason::Cancelled))
+        returned.unwrap_or_else(|_| Response::unknown(Reason::Cancelled))
     }
 
     /// Takes in how many connections the own upstream accepts.
@@ -264,18 +264,18 @@
     }
 
     /// Returns what became of a request whose caller lost the answer.
-    pub(crate) async fn recall(&self, attempt: &AttemptKey) -> Returned {
+    pub(crate) async fn recall(&self, attempt: &AttemptKey) -> Response {
         match self.records.recall(attempt, Instant::now()) {
             Recalled::Ended(returned) => returned,
             Recalled::Running(receiver) => {
                 let returned = receiver.await;
-                returned.unwrap_or_else(|_| Returned::unknown(Reason::Connection))
+                returned.unwrap_or_else(|_| Response::unknown(Reason::Connection))
             }
         }
     }
 
     /// Returns the life of the upstream that may run the request.
-    fn open_upstream(&self, work: &Work, now: Instant) -> Option<UpstreamKey> {
+    fn open_upstream(&self, work: &Request, now: Instant) -> Option<UpstreamKey> {
         if work.service != self.service {
             return None;
         }
@@ -283,8 +283,8 @@
     }
 
     /// Returns the place of a client's request among those of its kind.
-    fn begin(&self, work: &Work, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
-        if work.begun {
+    fn begin(&self, work: &Request, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
+        if work.is_nested {
             return Ok(None);
         }
         self.outset.begin(&work.kind, now).map(Some)
--- a/crates/mesh/src/gate/records.rs
+++ b/crates/mesh/src/gate/records.rs
@@ -17,7 +17,7 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use crate::key::AttemptKey;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// How long the end of a request is remembered: no client waits longer than this.
 const MEMORY: Duration = Duration::from_mins(1);
@@ -31,9 +31,9 @@
     /// It waits for admission and has not been sent.
     Waiting,
     /// It was sent to the upstream; these wait for what becomes of it.
-    Running(Vec<oneshot::Sender<Returned>>),
+    Running(Vec<oneshot::Sender<Response>>),
     /// It ran or may have run; the answer if it is still kept.
-    Ended(Option<Box<Returned>>),
+    Ended(Option<Box<Response>>),
     /// It never ran and never will.
     Refused,
 }
@@ -41,9 +41,9 @@
 /// What is known about a request.
 pub(crate) enum Recalled {
     /// It is over.
-    Ended(Returned),
+    Ended(Response),
     /// It runs; the answer comes through the receiver.
-    Running(oneshot::Receiver<Returned>),
+    Running(oneshot::Receiver<Response>),
 }
 
 /// What became of the requests that must not run twice.
@@ -82,7 +82,7 @@
         let Some(record) = records.get_mut(attempt) else {
             records.insert(attempt.clone(), Record::Refused);
             self.by_age.borrow_mut().push_back((now, attempt.clone()));
-            return Recalled::Ended(Returned::refused(Reason::Connection));
+            return Recalled::Ended(Response::refused(Reason::Connection));
         };
         match record {
             Record::Running(waiting) => {
@@ -91,13 +91,13 @@
                 Recalled::Running(receiver)
             }
             Record::Ended(Some(answer)) => {
-                let unknown = || Returned::unknown(Reason::Connection);
-                Recalled::Ended(answer.copy().unwrap_or_else(unknown))
+                let unknown = || Response::unknown(Reason::Connection);
+                Recalled::Ended(answer.try_clone().unwrap_or_else(unknown))
             }
-            Record::Ended(None) => Recalled::Ended(Returned::unknown(Reason::Connection)),
+            Record::Ended(None) => Recalled::Ended(Response::unknown(Reason::Connection)),
             Record::Waiting | Record::Refused => {
                 *record = Record::Refused;
-                Recalled::Ended(Returned::refused(Reason::Connection))
+                Recalled::Ended(Response::refused(Reason::Connection))
             }
         }
     }
@@ -113,8 +113,8 @@
     }
 
     /// Notes the end of a request that ran or may have run; returns its record before that.
-    fn close(&self, attempt: &AttemptKey, returned: &Returned, now: Instant) -> Option<Record> {
-        let copy = returned.copy();
+    fn close(&self, attempt: &AttemptKey, returned: &Response, now: Instant) -> Option<Record> {
+        let copy = returned.try_clone();
         if copy.is_some() {
             self.keep(attempt, returned, now);
         }
@@ -122,7 +122,7 @@
         self.by_attempt.borrow_mut().insert(attempt.clone(), ended)
     }
 
-    fn keep(&self, attempt: &AttemptKey, answer: &Returned, now: Instant) {
+    fn keep(&self, attempt: &AttemptKey, answer: &Response, now: Instant) {
         let size = answer.head.len() + answer.body.whole().map_or(0, Bytes::len);
         self.answers
             .borrow_mut()
@@ -183,7 +183,7 @@
     ///
     /// One that the upstream turned away is forgotten: its caller may try again, here too. If the
     /// caller asks for it instead, it is refused for good.
-    pub(crate) fn end(self, returned: &Returned, now: Instant) {
+    pub(crate) fn end(self, returned: &Response, now: Instant) {
         let ended = if returned.outcome == Outcome::NotRun {
             self.records.forget(&self.attempt)
         } else {
@@ -193,9 +193,9 @@
             return;
         };
         for sender in waiting {
-            let unknown = || Returned::unknown(Reason::AnswerTooLarge);
+            let unknown = || Response::unknown(Reason::AnswerTooLarge);
             // Who asked may have left.
-            let _ = sender.send(returned.copy().unwrap_or_else(unknown));
+            let _ = sender.send(returned.try_clone().unwrap_or_else(unknown));
         }
     }
 }
--- a/crates/mesh/src/gate/records/tests.rs
+++ b/crates/mesh/src/gate/records/tests.rs
@@ -9,13 +9,13 @@
 use crate::body::Body;
 use crate::gate::records::{Recalled, Records};
 use crate::key::AttemptKey;
-use crate::work::Returned;
+use crate::request::Response;
 
-fn text(returned: &Returned) -> &[u8] {
+fn text(returned: &Response) -> &[u8] {
     returned.body.whole().expect("it is whole")
 }
 
-fn recall(records: &Records, key: &AttemptKey, now: Instant) -> Returned {
+fn recall(records: &Records, key: &AttemptKey, now: Instant) -> Response {
     match records.recall(key, now) {
         Recalled::Ended(returned) => returned,
         Recalled::Running(_) => panic!("it runs"),
@@ -60,7 +60,7 @@
     let Recalled::Running(mut receiver) = records.recall(&key, now) else {
         panic!("it runs");
     };
-    let answer = Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
+    let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
     place.end(&answer, now);
     let told = receiver
         .try_recv()
@@ -80,7 +80,7 @@
     let place = records.begin(&key, now).expect("it is new");
     place.start();
     place.end(
-        &Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done"))),
+        &Response::answered(200, Bytes::new(), Body::Whole(Bytes::from("done"))),
         now,
     );
     let later = now + Duration::from_secs(10);
@@ -115,7 +115,7 @@
     drop(place);
     let place = records.begin(&key, now).expect("it was not admitted");
     assert!(place.start());
-    place.end(&Returned::turned_away(Reason::UpstreamShed), now);
+    place.end(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
     let place = records.begin(&key, now).expect("it was turned away");
     assert!(place.start());
 }
@@ -129,7 +129,7 @@
     );
     let place = records.begin(&key, now).expect("it is new");
     place.start();
-    place.end(&Returned::turned_away(Reason::UpstreamShed), now);
+    place.end(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
     assert!(
         records.begin(&key, now).is_none(),
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -7,25 +7,25 @@
 
 use super::Gate;
 use crate::events::{Bound, Refusal};
+use crate::request::{Request, Response};
 use crate::returns;
-use crate::work::{Returned, Work};
 
 impl Gate {
-    pub(super) fn hold_back(&self, work: &Work, hold: Hold) -> Returned {
+    pub(super) fn hold_back(&self, work: &Request, hold: Hold) -> Response {
         match hold {
             Hold::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
-            Hold::Path => Returned {
+            Hold::Path => Response {
                 absent_below: true,
                 ..self.refuse_at(work, Reason::NoUpstream, Bound::Path)
             },
         }
     }
 
-    pub(super) fn refuse(&self, work: &Work, reason: Reason) -> Returned {
+    pub(super) fn refuse(&self, work: &Request, reason: Reason) -> Response {
         self.refuse_at(work, reason, Bound::Nothing)
     }
 
-    pub(super) fn refuse_at(&self, work: &Work, reason: Reason, bound: Bound) -> Returned {
+    pub(super) fn refuse_at(&self, work: &Request, reason: Reason, bound: Bound) -> Response {
         self.events.note_refusal(&Refusal {
             attempt: &work.attempt,
             kind: &work.kind,
@@ -38,6 +38,6 @@
             (_, Reason::OnTrial) => returns::after_trial(),
             _ => returns::after_overload(self.admission.return_spread(Instant::now())),
         };
-        Returned::refused(reason).come_back(after)
+        Response::refused(reason).with_retry_after(after)
     }
 }
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -17,7 +17,7 @@
 use super::upstream::Ended;
 use crate::clock;
 use crate::key::UpstreamKey;
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// The statuses that promise that a request did not run.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
@@ -26,10 +26,10 @@
     /// Sends a request and waits for its answer until a moment at most.
     pub(super) async fn send(
         self: &Rc<Self>,
-        work: &Work,
+        work: &Request,
         entered: &Entered,
         until: Moment,
-    ) -> Returned {
+    ) -> Response {
         let upstream = &entered.upstream;
         let entry = self.contexts.open(work, upstream);
         let exchange = exchange(&self.pool, self.dialect.fields(), upstream, work);
@@ -44,14 +44,14 @@
         let returned = match result {
             Waited::Over(Ok(Ok(answer))) => self.take_answer(work, entered, sent.at, answer),
             Waited::Over(Ok(Err(error))) => self.take_error(work, upstream, &error).await,
-            Waited::Over(Err(_)) => Returned::unknown(Reason::Deadline),
-            Waited::Silent => Returned::unknown(Reason::Connection),
+            Waited::Over(Err(_)) => Response::unknown(Reason::Deadline),
+            Waited::Silent => Response::unknown(Reason::Connection),
         };
         if returned.outcome == Outcome::Done {
             self.quarantine.note_answered(&work.identity);
             sent.note_answer(&returned, self.upstream.report.slowness());
         }
-        Returned {
+        Response {
             path_pressure: entry.context.pressure.get(),
             failed_below: entry.context.failed_below.get(),
             absent_below: entry.context.absent_below.get(),
@@ -61,11 +61,11 @@
 
     fn take_answer(
         &self,
-        work: &Work,
+        work: &Request,
         entered: &Entered,
         sent_at: Moment,
         answer: UpstreamAnswer,
-    ) -> Returned {
+    ) -> Response {
         let upstream = &entered.upstream;
         let UpstreamAnswer { head, body } = answer;
         let fields = self.dialect.fields();
@@ -83,39 +83,39 @@
             self.upstream
                 .retire(upstream, "another upstream has its address");
             self.pool.clear();
-            return Returned::turned_away(Reason::NoUpstream);
+            return Response::rejected_by_upstream(Reason::NoUpstream);
         }
         self.watcher.note_answer(upstream, sent_at);
         if says_not_run {
             self.admission.note_shed(Instant::now());
-            return Returned::turned_away(Reason::UpstreamShed);
+            return Response::rejected_by_upstream(Reason::UpstreamShed);
         }
         if PROMISES.contains(&head.status) {
             let reason = "a status that promises what the upstream does not say";
             self.events.note_loss(&work.attempt, &reason);
-            return Returned::unknown(Reason::Connection);
+            return Response::unknown(Reason::Connection);
         }
-        Returned::answered(head.status, passed_on(&head), body)
+        Response::answered(head.status, passed_on(&head), body)
     }
 
     async fn take_error(
         self: &Rc<Self>,
-        work: &Work,
+        work: &Request,
         upstream: &UpstreamKey,
         error: &ExchangeError,
-    ) -> Returned {
+    ) -> Response {
         self.events.note_loss(&work.attempt, error);
         if matches!(error, ExchangeError::Late) {
-            return Returned::refused(Reason::Deadline);
+            return Response::refused(Reason::Deadline);
         }
         if error.is_unsent() {
             self.upstream.note_unreachable(Instant::now());
-            return Returned::refused(Reason::NoUpstream);
+            return Response::refused(Reason::NoUpstream);
         }
         if self.has_crashed(upstream, &work.attempt, error).await {
-            return Returned::unknown(Reason::UpstreamCrashed);
+            return Response::unknown(Reason::UpstreamCrashed);
         }
-        Returned::unknown(Reason::Connection)
+        Response::unknown(Reason::Connection)
     }
 }
 
--- a/crates/mesh/src/gate/silence.rs
+++ b/crates/mesh/src/gate/silence.rs
@@ -18,7 +18,7 @@
 use crate::contexts::Context;
 use crate::events::Silence;
 use crate::key::AttemptKey;
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// How long it is waited at most before it is looked again.
 const LONGEST_LOOK: Duration = Duration::from_secs(1);
@@ -68,7 +68,7 @@
     }
 
     /// Takes in its answer.
-    pub(super) fn note_answer(&self, returned: &Returned, slowness: f64) {
+    pub(super) fn note_answer(&self, returned: &Response, slowness: f64) {
         if returned.is_success() {
             self.open.note_answer(slowness, Instant::now());
             self.kind.note_silent(false, Instant::now());
@@ -78,7 +78,7 @@
 
 impl Gate {
     /// Notes that a request is sent now.
-    pub(super) fn begin_wait<'a>(&self, work: &'a Work, entered: &'a Entered) -> Sent<'a> {
+    pub(super) fn begin_wait<'a>(&self, work: &'a Request, entered: &'a Entered) -> Sent<'a> {
         let kind = self.kinds.get(&work.kind);
         let usual = kind.usual();
         let slowness = self.upstream.report.slowness();
@@ -94,7 +94,7 @@
             at: now,
             deadline: work.deadline,
             is_repeatable: work.idempotent,
-            was_repeated: work.repeated,
+            was_repeated: work.is_retry,
             entered,
         }
     }
@@ -183,12 +183,12 @@
 pub(super) async fn until_told(
     deadline: Moment,
     is_silent: &Cell<bool>,
-    mut receiver: oneshot::Receiver<Returned>,
-) -> Result<Returned, oneshot::Canceled> {
+    mut receiver: oneshot::Receiver<Response>,
+) -> Result<Response, oneshot::Canceled> {
     let told = clock::until(deadline.before(TELL_AHEAD), &mut receiver).await;
     match told {
         Ok(returned) => returned,
-        Err(Late) if is_silent.get() => Ok(Returned::unknown(sailtrack_wire::Reason::Deadline)),
+        Err(Late) if is_silent.get() => Ok(Response::unknown(sailtrack_wire::Reason::Deadline)),
         Err(Late) => receiver.await,
     }
 }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -28,6 +28,7 @@
 mod quota;
 mod ready;
 mod reload;
+mod request;
 mod retired;
 mod retry;
 mod returns;
@@ -38,7 +39,6 @@
 mod store;
 mod wake;
 mod watch;
-mod work;
 
 use sailtrack_kernel::Error;
 use sailtrack_log::Destination;
--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -18,7 +18,7 @@
 use sailtrack_units::{KindName, NodeName, ServiceName};
 use sailtrack_wire::{Outcome, Reason};
 
-use crate::work::Returned;
+use crate::request::Response;
 use counters::Counters;
 use gauges::Gauges;
 pub(crate) use gauges::Snapshot;
@@ -208,7 +208,7 @@
     }
 
     /// Notes how a request of a client ended after `time`.
-    pub(crate) fn note_answer(&self, kind: &KindName, returned: &Returned, time: Duration) {
+    pub(crate) fn note_answer(&self, kind: &KindName, returned: &Response, time: Duration) {
         self.note_end(Stage::Entry, kind, returned.outcome, returned.reason);
         let labels = KindLabels {
             kind: kind.to_string(),
--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -34,10 +34,10 @@
 use crate::peer::parts::Parts;
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
+use crate::request::Response;
 use crate::retired::Retired;
 use crate::status::Status;
 use crate::store::{Clock, StoreTime};
-use crate::work::Returned;
 
 /// How long a new connection may take to say hello.
 const HELLO_TIME: Duration = Duration::from_secs(2);
@@ -234,13 +234,13 @@
         let too_many = open.running.borrow().len() >= MOST_OPEN;
         let work = async move {
             if too_many {
-                return Returned::refused(Reason::Overload);
+                return Response::refused(Reason::Overload);
             }
             match work_from_wire(message) {
                 Ok(work) => acceptor.gate.run(work).await,
                 Err(error) => {
                     refuse(&error);
-                    Returned::refused(Reason::Undeclared)
+                    Response::refused(Reason::Undeclared)
                 }
             }
         };
@@ -252,7 +252,7 @@
         let exchange = recall.exchange;
         let work = async move {
             if Incarnation(recall.incarnation) != acceptor.status.life {
-                return Returned::unknown(Reason::HomeGone);
+                return Response::unknown(Reason::HomeGone);
             }
             let attempt = AttemptKey::from(recall.id.as_str());
             acceptor.gate.recall(&attempt).await
@@ -307,7 +307,7 @@
 /// Runs `work` in a task of its own and sends what comes of it, unless it is cancelled before.
 fn spawn_answer(
     exchange: u64,
-    work: impl Future<Output = Returned> + 'static,
+    work: impl Future<Output = Response> + 'static,
     outgoing: &mpsc::Sender<Body>,
     open: &Rc<Open>,
 ) {
@@ -328,7 +328,7 @@
 }
 
 /// Sends what became of a request, a long body in chunks so that others are not held up.
-async fn send(outgoing: &mut mpsc::Sender<Body>, exchange: u64, returned: Returned, open: &Open) {
+async fn send(outgoing: &mut mpsc::Sender<Body>, exchange: u64, returned: Response, open: &Open) {
     let mut reply = returned_to_wire(exchange, &returned);
     match returned.body {
         AnswerBody::Whole(mut rest) => {
--- a/crates/mesh/src/peer/convert.rs
+++ b/crates/mesh/src/peer/convert.rs
@@ -12,7 +12,7 @@
 use crate::body::Body;
 use crate::clock;
 use crate::key::AttemptKey;
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// The most bytes of a body in one message, so that a long one does not hold up others.
 pub(super) const CHUNK: usize = 32 * 1024;
@@ -27,7 +27,7 @@
 impl std::error::Error for WorkError {}
 
 /// Returns the message for a request; the body beyond the first part follows in chunks.
-pub(super) fn work_to_wire(exchange: u64, work: &Work) -> Forward {
+pub(super) fn work_to_wire(exchange: u64, work: &Request) -> Forward {
     let first = work.body.len().min(CHUNK);
     Forward {
         exchange,
@@ -37,12 +37,12 @@
         idempotent: work.idempotent,
         rank: u32::from(work.rank.index()),
         class: u32::try_from(work.class.index()).unwrap_or_default(),
-        begun: work.begun,
+        begun: work.is_nested,
         time_left_us: u64::try_from(work.time_left().as_micros()).unwrap_or(u64::MAX),
         head: work.head.clone(),
         body: work.body.slice(..first),
         body_length: work.body.len() as u64,
-        repeated: work.repeated,
+        repeated: work.is_retry,
         identity: Bytes::copy_from_slice(&work.identity.to_bytes()),
         known_crashes: u32::from(work.known_crashes),
         workspace: work
@@ -54,7 +54,7 @@
 }
 
 /// Returns the request that a message with its whole body stands for.
-pub(super) fn work_from_wire(message: Forward) -> Result<Work, WorkError> {
+pub(super) fn work_from_wire(message: Forward) -> Result<Request, WorkError> {
     let error = |what: &dyn std::fmt::Display| WorkError(what.to_string());
     let rank = u8::try_from(message.rank).map_err(|e| error(&e))?;
     let identity = Identity::from_bytes(&message.identity);
@@ -64,7 +64,7 @@
         .and_then(Class::from_index);
     let workspace = (!message.workspace.is_empty()).then(|| message.workspace.parse());
     let workspace = workspace.transpose().map_err(|e| error(&e))?;
-    Ok(Work {
+    Ok(Request {
         workspace,
         attempt: AttemptKey::from(message.id.as_str()),
         identity,
@@ -76,8 +76,8 @@
         class: class.ok_or_else(|| error(&"there is no such class"))?,
         // Only the node where a call comes in repeats it.
         progress: 0,
-        begun: message.begun,
-        repeated: message.repeated,
+        is_nested: message.begun,
+        is_retry: message.repeated,
         deadline: clock::now() + Duration::from_micros(message.time_left_us),
         head: message.head,
         body: message.body,
@@ -85,7 +85,7 @@
 }
 
 /// Returns the message for what became of a request, without its body.
-pub(super) fn returned_to_wire(exchange: u64, returned: &Returned) -> Reply {
+pub(super) fn returned_to_wire(exchange: u64, returned: &Response) -> Reply {
     let (length_known, body_length) = match &returned.body {
         Body::Whole(bytes) => (true, bytes.len() as u64),
         Body::Stream(stream) => (stream.length.is_some(), stream.length.unwrap_or(0)),
@@ -100,7 +100,7 @@
         body_length,
         streamed: returned.body.whole().is_none(),
         length_known,
-        offered: returned.offered,
+        offered: returned.was_sent,
         pressure_percent: returned.pressure.percent(),
         path_pressure_percent: returned.path_pressure.percent(),
         failed_below: returned.failed_below,
@@ -111,12 +111,12 @@
 }
 
 /// Returns what became of a request, from a message and its body.
-pub(super) fn returned_from_wire(message: Reply, body: Body) -> Returned {
-    Returned {
+pub(super) fn returned_from_wire(message: Reply, body: Body) -> Response {
+    Response {
         outcome: message.outcome(),
         reason: message.reason(),
         status: u16::try_from(message.status).unwrap_or_default(),
-        offered: message.offered,
+        was_sent: message.offered,
         pressure: Pressure::from_percent(message.pressure_percent),
         path_pressure: Pressure::from_percent(message.path_pressure_percent),
         // Zero, for an upstream that tells none, is no pace either.
--- a/crates/mesh/src/peer/link/liveness.rs
+++ b/crates/mesh/src/peer/link/liveness.rs
@@ -16,8 +16,8 @@
 
 use crate::clock;
 use crate::peer::link::Link;
+use crate::request::Response;
 use crate::store::StoreTime;
-use crate::work::Returned;
 
 /// A node from which nothing came for this many of its intervals gets no new requests.
 const SILENT_INTERVALS: u32 = 3;
@@ -60,8 +60,8 @@
     /// Waits for a reply, and finds out meanwhile whether the node still works.
     pub(super) async fn await_reply(
         &self,
-        mut receiver: oneshot::Receiver<Returned>,
-    ) -> Result<Returned, oneshot::Canceled> {
+        mut receiver: oneshot::Receiver<Response>,
+    ) -> Result<Response, oneshot::Canceled> {
         loop {
             let pause = std::pin::pin!(sleep(PING_PAUSE));
             match select(&mut receiver, pause).await {
--- a/crates/mesh/src/peer/link/mod.rs
+++ b/crates/mesh/src/peer/link/mod.rs
@@ -30,9 +30,9 @@
 use crate::peer::convert::{CHUNK, work_to_wire};
 use crate::peer::link::lost::Lost;
 use crate::peer::parts::Parts;
+use crate::request::{Request, Response};
 use crate::routing::PeerLoad;
 use crate::watch::Place;
-use crate::work::{Returned, Work};
 
 /// How long a lost request is asked for before its fate is taken for unknown.
 const RECALL_TIME: Duration = Duration::from_millis(2500);
@@ -42,14 +42,14 @@
 /// What waits for a message of the other node.
 enum Pending {
     /// The request that it is the reply to, unless that was sent earlier.
-    Reply(oneshot::Sender<Returned>, Option<Ran>),
+    Reply(oneshot::Sender<Response>, Option<Ran>),
     Retired(oneshot::Sender<()>),
 }
 
 /// What became of a request that was handed to a link.
 pub(crate) enum Delivery {
     /// The other node answered.
-    Returned(Returned),
+    Returned(Response),
     /// Nothing was sent.
     Unsent,
     /// The connection to this life of the other node broke before the answer came.
@@ -199,7 +199,7 @@
     }
 
     /// Sends a request and waits for what becomes of it; dropping the future cancels it.
-    pub(crate) async fn forward(&self, work: &Work) -> Delivery {
+    pub(crate) async fn forward(&self, work: &Request) -> Delivery {
         let life = self.life.get();
         let ran = Ran {
             identity: work.identity,
@@ -226,11 +226,11 @@
     /// Asks what became of a request that was sent to a life of the node.
     ///
     /// The answer is final: a request that never ran never will.
-    pub(crate) async fn recall(&self, attempt: &AttemptKey, life: Incarnation) -> Returned {
+    pub(crate) async fn recall(&self, attempt: &AttemptKey, life: Incarnation) -> Response {
         let asking = async {
             loop {
                 if self.is_open() && self.life.get() != life {
-                    return Returned::unknown(Reason::HomeGone);
+                    return Response::unknown(Reason::HomeGone);
                 }
                 let (exchange, receiver) = self.begin_reply(None);
                 let recall = Recall {
@@ -249,7 +249,7 @@
             }
         };
         let asked = timeout(RECALL_TIME, asking).await;
-        asked.unwrap_or_else(|_| Returned::unknown(Reason::Connection))
+        asked.unwrap_or_else(|_| Response::unknown(Reason::Connection))
     }
 
     /// Asks the node to remember that an upstream leaves; returns true if it does.
@@ -305,7 +305,7 @@
         exchange
     }
 
-    fn begin_reply(&self, ran: Option<Ran>) -> (u64, oneshot::Receiver<Returned>) {
+    fn begin_reply(&self, ran: Option<Ran>) -> (u64, oneshot::Receiver<Response>) {
         let exchange = self.next();
         let (sender, receiver) = oneshot::channel();
         let pending = Pending::Reply(sender, ran);
@@ -320,7 +320,7 @@
         outgoing.is_some_and(|outgoing| outgoing.try_send(body).is_ok())
     }
 
-    async fn send_work(&self, exchange: u64, work: &Work) -> bool {
+    async fn send_work(&self, exchange: u64, work: &Request) -> bool {
         if !self.is_open() || !self.send(Body::Forward(work_to_wire(exchange, work))) {
             return false;
         }
--- a/crates/mesh/src/peer/link/replies.rs
+++ b/crates/mesh/src/peer/link/replies.rs
@@ -10,7 +10,7 @@
 use crate::peer::link::{Link, Pending};
 use crate::peer::parts::Parts;
 use crate::peer::source::LinkSource;
-use crate::work::Returned;
+use crate::request::Response;
 
 impl Link {
     /// Takes the first part of a reply; one that nobody waits for is dropped.
@@ -36,7 +36,7 @@
             Some(parts) => {
                 self.replies.borrow_mut().insert(exchange, parts);
             }
-            None => self.give(exchange, Returned::unknown(Reason::AnswerTooLarge)),
+            None => self.give(exchange, Response::unknown(Reason::AnswerTooLarge)),
         }
     }
 
@@ -61,7 +61,7 @@
             return;
         };
         if !parts.add(&chunk.data) {
-            self.give(exchange, Returned::unknown(Reason::AnswerTooLarge));
+            self.give(exchange, Response::unknown(Reason::AnswerTooLarge));
         } else if parts.is_whole() {
             let (reply, body) = parts.finish();
             self.give(exchange, returned_from_wire(reply, AnswerBody::Whole(body)));
@@ -70,7 +70,7 @@
         }
     }
 
-    fn give(&self, exchange: u64, returned: Returned) {
+    fn give(&self, exchange: u64, returned: Response) {
         let waiting = self.pending.borrow_mut().remove(&exchange);
         if let Some(Pending::Reply(sender, _)) = waiting {
             let did_not_run = returned.outcome == Outcome::NotRun;
--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -22,8 +22,8 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::peer::News;
 use crate::peer::link::{Delivery, Link};
+use crate::request::Request;
 use crate::store::StoreTime;
-use crate::work::Work;
 
 /// How often the nodes of a small mesh say what they are like.
 const SMALL_MESH_INTERVAL: Duration = Duration::from_millis(300);
@@ -63,8 +63,8 @@
     }
 }
 
-fn work() -> Work {
-    Work {
+fn work() -> Request {
+    Request {
         workspace: None,
         progress: 0,
         class: Class::default(),
@@ -75,8 +75,8 @@
         kind: "r-1".parse().expect("a name"),
         idempotent: true,
         rank: Rank::from_index(1),
-        begun: false,
-        repeated: false,
+        is_nested: false,
+        is_retry: false,
         deadline: clock::now() + Duration::from_secs(10),
         head: Bytes::from_static(b"GET / HTTP/1.1\r\n"),
         body: Bytes::new(),
--- a/crates/mesh/src/work.rs
+++ b/crates/mesh/src/request.rs
@@ -14,7 +14,7 @@
 
 /// A request for one upstream.
 #[derive(Debug, Clone)]
-pub(crate) struct Work {
+pub(crate) struct Request {
     pub(crate) attempt: AttemptKey,
     /// What it asks, the same for every attempt of its caller.
     pub(crate) identity: Identity,
@@ -33,16 +33,16 @@
     /// How many calls were answered well before it that were made for the same request.
     pub(crate) progress: u32,
     /// An upstream made it while it worked on another request.
-    pub(crate) begun: bool,
+    pub(crate) is_nested: bool,
     /// It, or the request that it is made for, was sent to another upstream before.
-    pub(crate) repeated: bool,
+    pub(crate) is_retry: bool,
     pub(crate) deadline: Moment,
     /// The request line and the fields to be passed on.
     pub(crate) head: Bytes,
     pub(crate) body: Bytes,
 }
 
-impl Work {
+impl Request {
     /// Returns the time left until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.since(clock::now())
@@ -51,7 +51,7 @@
 
 /// What became of a request.
 #[derive(Debug)]
-pub(crate) struct Returned {
+pub(crate) struct Response {
     pub(crate) outcome: Outcome,
     pub(crate) reason: Reason,
     /// The upstream's status if the outcome is done.
@@ -60,7 +60,7 @@
     pub(crate) head: Bytes,
     pub(crate) body: Body,
     /// Whether it was sent to the upstream, whatever came of it.
-    pub(crate) offered: bool,
+    pub(crate) was_sent: bool,
     /// How full the upstream is.
     pub(crate) pressure: Pressure,
     /// How long work takes on the instance of the upstream, if it tells that.
@@ -75,15 +75,15 @@
     pub(crate) retry_after: Duration,
 }
 
-impl Returned {
-    fn without_answer(outcome: Outcome, reason: Reason, offered: bool) -> Self {
+impl Response {
+    fn without_answer(outcome: Outcome, reason: Reason, was_sent: bool) -> Self {
         Self {
             outcome,
             reason,
             status: 0,
             head: Bytes::new(),
             body: Body::Whole(Bytes::new()),
-            offered,
+            was_sent,
             pressure: Pressure::default(),
             pace: None,
             path_pressure: Pressure::default(),
@@ -99,13 +99,13 @@
     }
 
     /// Returns it with the time after which the caller may come back.
-    pub(crate) fn come_back(mut self, after: Duration) -> Self {
+    pub(crate) fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = after;
         self
     }
 
     /// Returns the refusal of a request that the upstream itself turned away.
-    pub(crate) fn turned_away(reason: Reason) -> Self {
+    pub(crate) fn rejected_by_upstream(reason: Reason) -> Self {
         Self::without_answer(Outcome::NotRun, reason, true)
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Returns a copy that can be given again, unless the body is streamed.
-    pub(crate) fn copy(&self) -> Option<Self> {
+    pub(crate) fn try_clone(&self) -> Option<Self> {
         let body = Body::Whole(self.body.whole()?.clone());
         Some(Self {
             head: self.head.clone(),
@@ -140,7 +140,7 @@
     }
 
     /// Returns true if it, or a call that was made for it, found no upstream of its service.
-    pub(crate) fn found_nobody(&self) -> bool {
+    pub(crate) fn found_no_upstream(&self) -> bool {
         let is_absent = self.outcome == Outcome::NotRun && self.reason == Reason::NoUpstream;
         is_absent || (self.absent_below && !self.is_success())
     }
@@ -149,7 +149,7 @@
     ///
     /// An upstream that turns requests away tells nothing: its gate lets in no more than it has
     /// slots for, so it does not do so for want of room.
-    pub(crate) fn met_pressure(&self) -> Pressure {
+    pub(crate) fn observed_pressure(&self) -> Pressure {
         match self.reason {
             Reason::Overload => self.path_pressure.greater(Pressure::REFUSING),
             _ => self.path_pressure,
--- a/crates/mesh/src/retry.rs
+++ b/crates/mesh/src/retry.rs
@@ -15,8 +15,8 @@
 use sailtrack_kernel::Service;
 use sailtrack_units::{Moment, Rank, ServiceName};
 
+use crate::request::Request;
 use crate::settings::RetryBounds;
-use crate::work::Work;
 
 /// The part of the allowed ratio that a node uses for a service while it can tell which calls are
 /// made for repeats, which count as repeats themselves. The rest is for calls in transit.
@@ -107,18 +107,18 @@
     /// Notes a request to a service; one that is made for a repeat counts as a repeat itself.
     ///
     /// The first call that could be told from a request of a client shows that calls can be.
-    pub(crate) fn note_request(&self, work: &Work, now: Moment) {
-        if work.begun {
+    pub(crate) fn note_request(&self, work: &Request, now: Moment) {
+        if work.is_nested {
             self.is_told.set(true);
         }
         self.with_slice(&work.service, now, |slice| {
             slice.requests += 1;
-            slice.repeats += u32::from(work.repeated);
+            slice.repeats += u32::from(work.is_retry);
         });
     }
 
     /// Takes the right to send a request once more; `nodes` share the budget.
-    pub(crate) fn take(&self, work: &Work, now: Moment, nodes: usize) -> bool {
+    pub(crate) fn take(&self, work: &Request, now: Moment, nodes: usize) -> bool {
         self.with_slice(&work.service, now, |slice| slice.wanted += 1);
         let Sums {
             requests,
@@ -237,6 +237,6 @@
 }
 
 /// Returns the part of the budget that a call may use for what its request has come to already.
-fn progress_part(work: &Work) -> f64 {
+fn progress_part(work: &Request) -> f64 {
     (PROGRESS_PART * f64::from(work.progress)).min(1.0)
 }
--- a/crates/mesh/src/retry/tests.rs
+++ b/crates/mesh/src/retry/tests.rs
@@ -8,9 +8,9 @@
 
 use crate::clock;
 use crate::key::AttemptKey;
+use crate::request::Request;
 use crate::retry::Budget;
 use crate::settings::RetryBounds;
-use crate::work::Work;
 
 const BOUNDS: RetryBounds = RetryBounds {
     ratio: Ratio(0.2),
@@ -18,8 +18,8 @@
     window: Period::from_millis(10_000),
 };
 
-fn work(rank: Rank, repeated: bool) -> Work {
-    Work {
+fn work(rank: Rank, is_retry: bool) -> Request {
+    Request {
         workspace: None,
         progress: 0,
         class: Class::default(),
@@ -30,8 +30,8 @@
         kind: "read".parse().expect("a name"),
         idempotent: true,
         rank,
-        begun: false,
-        repeated,
+        is_nested: false,
+        is_retry,
         deadline: clock::now(),
         head: Bytes::new(),
         body: Bytes::new(),
@@ -46,16 +46,16 @@
         .count()
 }
 
-fn note(budget: &Budget, requests: usize, repeated: bool, now: Moment) {
+fn note(budget: &Budget, requests: usize, is_retry: bool, now: Moment) {
     for _ in 0..requests {
-        budget.note_request(&work(Rank::HIGHEST, repeated), now);
+        budget.note_request(&work(Rank::HIGHEST, is_retry), now);
     }
 }
 
 /// Lets the budget see one call that can be told from a request of a client.
 fn tell(budget: &Budget, now: Moment) {
-    let call = Work {
-        begun: true,
+    let call = Request {
+        is_nested: true,
         ..work(Rank::HIGHEST, false)
     };
     budget.note_request(&call, now);
@@ -239,9 +239,9 @@
         let rank = Rank::from_index(u8::try_from(128 + draw() % 64).expect("it fits"));
         let mut answered = 0;
         while answered < 4 {
-            let call = Work {
+            let call = Request {
                 progress: if sees_progress { answered } else { 0 },
-                begun: true,
+                is_nested: true,
                 ..work(rank, false)
             };
             budget.note_request(&call, now);
--- a/crates/mesh/src/routing/load.rs
+++ b/crates/mesh/src/routing/load.rs
@@ -12,7 +12,7 @@
 use sailtrack_units::{Class, Importance, KindName, Pace};
 use sailtrack_wire::{Outcome, Reason};
 
-use crate::work::Returned;
+use crate::request::Response;
 
 /// The weight of the newest answer in the share of failures.
 const NEWEST_WEIGHT: f64 = 0.1;
@@ -96,7 +96,7 @@
         &mut self,
         now: Instant,
         class: Class,
-        returned: &Returned,
+        returned: &Response,
     ) -> Option<Duration> {
         if returned.reason != Reason::Connection {
             // Where the connection broke nothing was told.
@@ -129,7 +129,7 @@
         times: &mut Times,
         (class, kind): (Class, &KindName),
         time: Duration,
-        returned: Option<&Returned>,
+        returned: Option<&Response>,
     ) {
         let told = returned.and_then(|returned| returned.pace);
         let level = || self.levels.borrow().at(now, class);
@@ -219,12 +219,12 @@
 }
 
 /// Returns true if how long a request took tells how quick the upstream is.
-pub(crate) fn tells_time(returned: &Returned) -> bool {
+pub(crate) fn tells_time(returned: &Response) -> bool {
     returned.is_success() && !returned.failed_below
 }
 
 /// Returns true if what became of a request speaks against the node itself, not its load.
-fn is_failure(returned: &Returned) -> bool {
+fn is_failure(returned: &Response) -> bool {
     match returned.outcome {
         Outcome::Done => returned.status >= 500 && !returned.failed_below,
         Outcome::NotRun => match returned.reason {
--- a/crates/mesh/src/routing/load/tests.rs
+++ b/crates/mesh/src/routing/load/tests.rs
@@ -11,8 +11,8 @@
 use sailtrack_wire::Reason;
 
 use crate::body::Body;
+use crate::request::Response;
 use crate::routing::load::{Levels, PeerLoad};
-use crate::work::Returned;
 
 const CLASS: Class = Class {
     workspace: Importance::Normal,
@@ -20,10 +20,10 @@
 };
 const TIME: Duration = Duration::from_millis(20);
 
-fn failed(below: bool) -> Returned {
-    Returned {
+fn failed(below: bool) -> Response {
+    Response {
         failed_below: below,
-        ..Returned::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
+        ..Response::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
     }
 }
 
@@ -53,7 +53,11 @@
 fn turning_away_does_not() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..50 {
-        load.note(now, CLASS, &Returned::turned_away(Reason::UpstreamShed));
+        load.note(
+            now,
+            CLASS,
+            &Response::rejected_by_upstream(Reason::UpstreamShed),
+        );
     }
     assert!(load.is_available(now));
     let sound = PeerLoad::default();
@@ -71,7 +75,7 @@
 
 /// Notes answers of a kind that took so long.
 fn answers(load: &mut PeerLoad, times: &mut Times, now: Instant, kind: &str, time: Duration) {
-    let answer = Returned::answered(200, Bytes::new(), Body::Whole(Bytes::new()));
+    let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()));
     let kind = kind.parse().expect("a name");
     load.note(now, CLASS, &answer);
     load.note_time(now, times, (CLASS, &kind), time, Some(&answer));
@@ -177,9 +181,9 @@
 fn full_for_what_matters_less() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     let low = Class::from(Importance::Low);
-    let full = Returned {
+    let full = Response {
         pressure: Pressure(1.8),
-        ..Returned::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
+        ..Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
     };
     load.note(now, low, &full);
     load.note_told(now, 100, None);
@@ -192,9 +196,9 @@
 fn held_back_is_sound() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..50 {
-        let held = Returned {
+        let held = Response {
             absent_below: true,
-            ..Returned::refused(Reason::NoUpstream)
+            ..Response::refused(Reason::NoUpstream)
         };
         load.note(now, CLASS, &held);
     }
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -23,7 +23,7 @@
 use crate::gate::Upstream;
 use crate::metrics::Metrics;
 use crate::peer::{Link, Peers, Placed};
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// Where a request goes.
 #[derive(Clone)]
@@ -66,7 +66,7 @@
     /// Returns where a request goes, leaving out the nodes that were tried.
     ///
     /// Nodes that failed lately are left out too, unless there is no other one.
-    pub(crate) fn choose(&self, work: &Work, tried: &[NodeName]) -> Option<Target> {
+    pub(crate) fn choose(&self, work: &Request, tried: &[NodeName]) -> Option<Target> {
         let now = Instant::now();
         let placed = self.peers.of_service(&work.service).unwrap_or_default();
         let learning = self.learned.of(&work.service);
@@ -114,7 +114,7 @@
     }
 
     /// Notes that a request goes to a target; the guard notes its end.
-    pub(crate) fn begin(&self, work: &Work, target: &Target) -> Outstanding {
+    pub(crate) fn begin(&self, work: &Request, target: &Target) -> Outstanding {
         let owner = match target {
             Target::Local => Owner::Local(Rc::clone(&self.local)),
             Target::Remote(link) => Owner::Remote(Rc::clone(link)),
@@ -197,7 +197,7 @@
 
 impl Outstanding {
     /// Notes what became of the request.
-    pub(crate) fn note(&self, returned: &Returned) {
+    pub(crate) fn note(&self, returned: &Response) {
         self.is_noted.set(true);
         let now = Instant::now();
         let pause = self.owner.with(|load| load.note(now, self.class, returned));
@@ -212,7 +212,7 @@
         }
     }
 
-    fn learn(&self, returned: Option<&Returned>) {
+    fn learn(&self, returned: Option<&Response>) {
         let now = Instant::now();
         let time = now.saturating_duration_since(self.began);
         let mut times = self.learning.times.borrow_mut();
