--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -20,7 +20,7 @@
 use crate::announcement::error::AnnouncementError;
 use crate::clock;
 use crate::configuration::Current;
-use crate::dialect::{Announcement, Beat, Dialect, Readiness};
+use crate::dialect::{Announcement, Dialect, Heartbeat, Readiness};
 use crate::gate::Upstream;
 use crate::key::UpstreamKey;
 use crate::metrics::Metrics;
@@ -83,14 +83,14 @@
     fn read(&self, request: &Request) -> Result<Announcement, AnnouncementError> {
         let announcement = self.dialect.announcement(request);
         let announcement = announcement.map_err(AnnouncementError::Dialect)?;
-        if let Announcement::Beat(beat) = &announcement {
+        if let Announcement::Heartbeat(beat) = &announcement {
             self.check(beat)?;
         }
         Ok(announcement)
     }
 
     /// Refuses what somebody else says in place of the own upstream.
-    fn check(&self, beat: &Beat) -> Result<(), AnnouncementError> {
+    fn check(&self, beat: &Heartbeat) -> Result<(), AnnouncementError> {
         if beat.service != self.service {
             return Err(AnnouncementError::Service {
                 own: self.service.clone(),
@@ -120,11 +120,11 @@
 
     async fn take(self: &Rc<Self>, announcement: Announcement) -> Response {
         let is_safe = match announcement {
-            Announcement::Goodbye(upstream) => self.retire(&upstream, "goodbye").await,
-            Announcement::Beat(beat) if beat.readiness == Readiness::Leaving => {
+            Announcement::Deregistration(upstream) => self.retire(&upstream, "goodbye").await,
+            Announcement::Heartbeat(beat) if beat.readiness == Readiness::Draining => {
                 self.retire(&beat.upstream, "leaving").await
             }
-            Announcement::Beat(beat) => {
+            Announcement::Heartbeat(beat) => {
                 self.take_ready(beat);
                 true
             }
@@ -141,7 +141,7 @@
     /// A life that this process has not seen is believed only once nobody says
     /// that it has left: the beat may be older than what an earlier process of
     /// this node acknowledged.
-    fn take_ready(self: &Rc<Self>, beat: Beat) {
+    fn take_ready(self: &Rc<Self>, beat: Heartbeat) {
         let now = Instant::now();
         // At a first start what left is what this process has heard of itself.
         if self.first_start || !self.upstream.is_new(&beat, now) {
@@ -210,14 +210,14 @@
             return;
         };
         self.upstream.note_first_load(load, clock::now());
-        self.take_ready(Beat {
+        self.take_ready(Heartbeat {
             upstream,
             service: self.service.clone(),
             address: self.address,
             readiness: Readiness::Ready,
             sequence: 0,
             slots: load.slots,
-            cold: Duration::ZERO,
+            warm_up: Duration::ZERO,
         });
     }
 }
--- a/crates/mesh/src/dialect.rs
+++ b/crates/mesh/src/dialect.rs
@@ -43,12 +43,12 @@
     /// It takes requests.
     Ready,
     /// It will end soon and must get nothing new.
-    Leaving,
+    Draining,
 }
 
 /// What an upstream says about itself from time to time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// This life of the upstream.
     pub upstream: UpstreamKey,
     /// The service that it belongs to.
@@ -62,16 +62,16 @@
     /// How many requests it works on at once.
     pub slots: u32,
     /// How much longer it is slow after its start.
-    pub cold: Duration,
+    pub warm_up: Duration,
 }
 
 /// One message of an upstream to its node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Announcement {
     /// It tells its state.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// It leaves and tells nothing more.
-    Goodbye(UpstreamKey),
+    Deregistration(UpstreamKey),
 }
 
 /// Why a message of an upstream or a configuration cannot be read.
@@ -102,7 +102,7 @@
     /// How long work takes on its instance at this moment, if it tells that.
     pub pace: Option<Pace>,
     /// Whether all that it told could be read.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 impl Load {
@@ -125,7 +125,7 @@
     fn acknowledgement(&self) -> String;
 
     /// Returns true if the request asks whether the node is ready.
-    fn asks_readiness(&self, request: &Request) -> bool;
+    fn is_readiness_probe(&self, request: &Request) -> bool;
 
     /// Reads a configuration.
     fn configuration(&self, text: &str) -> Result<Configuration, DialectError>;
--- a/crates/mesh/src/gate/report.rs
+++ b/crates/mesh/src/gate/report.rs
@@ -46,7 +46,7 @@
     ) -> Option<Load> {
         let text = String::from_utf8_lossy(value);
         let load = dialect.load(&text);
-        if !load.is_some_and(|load| load.is_whole) && !self.is_unreadable.replace(true) {
+        if !load.is_some_and(|load| load.is_complete) && !self.is_unreadable.replace(true) {
             let value: String = text.chars().take(MOST_SHOWN).collect();
             emit(
                 &catalogue::LOAD_UNREADABLE,
--- a/crates/mesh/src/gate/report/tests.rs
+++ b/crates/mesh/src/gate/report/tests.rs
@@ -26,7 +26,7 @@
         String::new()
     }
 
-    fn asks_readiness(&self, _request: &Request) -> bool {
+    fn is_readiness_probe(&self, _request: &Request) -> bool {
         false
     }
 
@@ -41,7 +41,7 @@
             waiting: 2,
             slots: 3,
             pace,
-            is_whole: pace.is_some(),
+            is_complete: pace.is_some(),
         })
     }
 }
--- a/crates/mesh/src/gate/upstream.rs
+++ b/crates/mesh/src/gate/upstream.rs
@@ -17,7 +17,7 @@
 use sailtrack_units::Moment;
 
 use crate::clock;
-use crate::dialect::{Beat, Load, Readiness};
+use crate::dialect::{Heartbeat, Load, Readiness};
 use crate::gate::report::Report;
 use crate::key::UpstreamKey;
 use crate::retired::Retired;
@@ -55,12 +55,12 @@
 
 impl Life {
     /// Returns true if a beat comes from this life, as far as it says.
-    fn is(&self, beat: &Beat) -> bool {
+    fn is(&self, beat: &Heartbeat) -> bool {
         self.key.is_same_life(&beat.upstream)
     }
 
     /// Returns true if a beat of an earlier life has to be ignored beside this one.
-    fn outranks(&self, beat: &Beat, now: Instant) -> bool {
+    fn outranks(&self, beat: &Heartbeat, now: Instant) -> bool {
         let silence = now.saturating_duration_since(self.heard);
         beat.upstream.is_older_than(&self.key) && silence < SILENCE
     }
@@ -182,7 +182,7 @@
     }
 
     /// Returns true if a beat tells of a life that may get requests and is not the present one.
-    pub(crate) fn is_new(&self, beat: &Beat, now: Instant) -> bool {
+    pub(crate) fn is_new(&self, beat: &Heartbeat, now: Instant) -> bool {
         let known = self.life.borrow();
         let is_known = known
             .as_ref()
@@ -191,7 +191,7 @@
     }
 
     /// Takes in a beat of a life that takes requests; one that came late or is retired is ignored.
-    pub(crate) fn take(&self, beat: &Beat, now: Instant) {
+    pub(crate) fn take(&self, beat: &Heartbeat, now: Instant) {
         if self.retired.contains(&beat.upstream) {
             return;
         }
@@ -211,7 +211,7 @@
         }
     }
 
-    fn renew(&self, beat: &Beat, now: Instant) {
+    fn renew(&self, beat: &Heartbeat, now: Instant) {
         let mut life = self.life.borrow_mut();
         let Some(life) = life.as_mut() else {
             return;
@@ -225,7 +225,7 @@
         life.key = beat.upstream.clone();
         life.sequence = beat.sequence;
         life.heard = now;
-        life.cold_until = clock::now() + beat.cold;
+        life.cold_until = clock::now() + beat.warm_up;
         self.unreachable_until.set(None);
         if life.slots != beat.slots {
             life.slots = beat.slots;
@@ -234,13 +234,13 @@
         }
     }
 
-    fn note_start(&self, beat: &Beat) {
+    fn note_start(&self, beat: &Heartbeat) {
         if beat.upstream.born().is_some() {
             self.tells_start.set(true);
         }
     }
 
-    fn begin(&self, beat: &Beat, now: Instant) {
+    fn begin(&self, beat: &Heartbeat, now: Instant) {
         emit(
             &catalogue::UPSTREAM_ANNOUNCED,
             &[
@@ -261,7 +261,7 @@
             slots: beat.slots,
             sequence: beat.sequence,
             heard: now,
-            cold_until: clock::now() + beat.cold,
+            cold_until: clock::now() + beat.warm_up,
         });
         for begun in self.begun.borrow().iter() {
             begun();
--- a/crates/mesh/src/gate/upstream/tests.rs
+++ b/crates/mesh/src/gate/upstream/tests.rs
@@ -7,7 +7,7 @@
 use sailtrack_admission::Admission;
 use sailtrack_units::Timestamp;
 
-use crate::dialect::{Beat, Readiness};
+use crate::dialect::{Heartbeat, Readiness};
 use crate::gate::upstream::{SILENCE, Upstream, limit};
 use crate::key::UpstreamKey;
 use crate::node::ADMISSION_RULES;
@@ -27,15 +27,15 @@
     UpstreamKey::new(id, born.map(Timestamp)).expect("a sound id")
 }
 
-fn beat(upstream: UpstreamKey, sequence: u64) -> Beat {
-    Beat {
+fn beat(upstream: UpstreamKey, sequence: u64) -> Heartbeat {
+    Heartbeat {
         upstream,
         service: "bank".parse().expect("a name"),
         address: ([127, 0, 0, 1], 9).into(),
         readiness: Readiness::Ready,
         sequence,
         slots: 8,
-        cold: Duration::ZERO,
+        warm_up: Duration::ZERO,
     }
 }
 
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -47,7 +47,7 @@
     ClientLimits, Configuration, Credential, Route, RouteBuilder, ServiceRules, Share, Workspace,
     WorkspaceError, Workspaces,
 };
-pub use dialect::{Announcement, Beat, Dialect, DialectError, FieldNames, Load, Readiness};
+pub use dialect::{Announcement, Dialect, DialectError, FieldNames, Heartbeat, Load, Readiness};
 pub use key::{AttemptKey, KeyError, UpstreamKey};
 pub use node::Surroundings;
 pub use settings::{Ports, RetryBounds, Settings};
--- a/crates/mesh/src/ready.rs
+++ b/crates/mesh/src/ready.rs
@@ -19,7 +19,7 @@
 
 impl Handler for ReadyPort {
     async fn handle(&self, request: Request) -> Response {
-        if !self.dialect.asks_readiness(&request) {
+        if !self.dialect.is_readiness_probe(&request) {
             return Response::text(StatusCode::NOT_FOUND, "nothing here\n");
         }
         let is_ready = self.phase.get() == Phase::Serving && self.current.get().is_some();
