--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -25,7 +25,7 @@
 use crate::quarantine::Quarantine;
 use crate::request::{Request, Response};
 use crate::retry::Budget;
-use crate::returns;
+use crate::retry_after;
 use crate::routing::{Routing, Target};
 use crate::wake::Wake;
 
@@ -234,7 +234,7 @@
         (_, Some(last)) => last,
         (Some(ran), None) => ran,
         (None, None) => {
-            Response::refused(Reason::NoUpstream).with_retry_after(returns::after_absence())
+            Response::refused(Reason::NoUpstream).with_retry_after(retry_after::no_upstream())
         }
     }
 }
--- a/crates/mesh/src/entry/admission.rs
+++ b/crates/mesh/src/entry/admission.rs
@@ -5,12 +5,12 @@
 use sailtrack_wire::Reason;
 
 use crate::clock;
+use crate::entry::CredentialError;
 use crate::entry::Entry;
-use crate::entry::KeyRefusal;
 use crate::entry::request::Incoming;
 use crate::quota::{Shortage, Token};
 use crate::request::Response;
-use crate::returns;
+use crate::retry_after;
 
 /// When a client of a node that is about to end may come back; it finds another node at once.
 const CLOSED_RETURN: Duration = Duration::from_millis(100);
@@ -18,7 +18,7 @@
 /// Why a request is not let in.
 pub(super) enum Denial {
     /// Nobody is known to ask.
-    Key(KeyRefusal),
+    Key(CredentialError),
     /// It may come back.
     NotNow(Box<Response>),
 }
@@ -28,11 +28,11 @@
     pub(super) fn check_key(&self, incoming: &Incoming) -> Result<(), Denial> {
         let has_key = match &incoming.caller {
             Ok(caller) => caller.has_key(),
-            Err(refusal) => *refusal == KeyRefusal::Unknown,
+            Err(refusal) => *refusal == CredentialError::Unknown,
         };
         // A key that is not known may be new.
         if has_key && !self.freshness.is_enough(clock::now()) {
-            let after = returns::after_outage();
+            let after = retry_after::outage();
             let returned = Response::refused(Reason::KeysOutdated).with_retry_after(after);
             return Err(Denial::NotNow(Box::new(returned)));
         }
@@ -51,7 +51,7 @@
         let (reason, after) = match self.quotas.admit(&limited.name).await {
             Ok(token) => return Ok(Some(token)),
             Err(Shortage::Over(after)) => (Reason::OverQuota, after),
-            Err(Shortage::NoAllocator) => (Reason::QuotaNotKnown, returns::after_outage()),
+            Err(Shortage::NoAllocator) => (Reason::QuotaNotKnown, retry_after::outage()),
         };
         Err(Response::refused(reason).with_retry_after(after))
     }
--- a/crates/mesh/src/entry/answering.rs
+++ b/crates/mesh/src/entry/answering.rs
@@ -14,8 +14,8 @@
 use crate::body::Stream;
 use crate::clock;
 use crate::dispatch::Trail;
+use crate::entry::CredentialError;
 use crate::entry::Entry;
-use crate::entry::KeyRefusal;
 use crate::entry::answer::{Asked, Refusal, Written, conclude, refuse};
 use crate::entry::connection::Next;
 use crate::entry::exchange::{Answer, Ended};
@@ -145,7 +145,7 @@
         }
     }
 
-    async fn refuse_key(&mut self, incoming: &Incoming, refusal: KeyRefusal) -> Next {
+    async fn refuse_key(&mut self, incoming: &Incoming, refusal: CredentialError) -> Next {
         let (attempt, kind) = (&incoming.attempt, &incoming.route.name);
         let version = self.entry.current.version();
         let events = &self.entry.events;
--- a/crates/mesh/src/entry/caller.rs
+++ b/crates/mesh/src/entry/caller.rs
@@ -11,11 +11,11 @@
 
 /// Why a request is let in on behalf of nobody.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub(crate) enum KeyRefusal {
+pub(crate) enum CredentialError {
     /// there is no key
     Missing,
     /// there is more than one key
-    Doubled,
+    Duplicate,
     /// no workspace has this key
     Unknown,
 }
@@ -39,7 +39,7 @@
         configuration: &Configuration,
         route: &Route,
         parent: Option<&Context>,
-    ) -> Result<Self, KeyRefusal> {
+    ) -> Result<Self, CredentialError> {
         let Some(workspaces) = &configuration.workspaces else {
             return Ok(Self::Anybody);
         };
@@ -53,15 +53,15 @@
                 let holder = workspaces.holder(key);
                 holder
                     .map(|holder| Self::Client(Rc::clone(holder)))
-                    .ok_or(KeyRefusal::Unknown)
+                    .ok_or(CredentialError::Unknown)
             }
-            (Some(_), Some(_)) => Err(KeyRefusal::Doubled),
+            (Some(_), Some(_)) => Err(CredentialError::Duplicate),
             // Upstreams have no keys.
             (None, _) => {
                 let workspace = parent.and_then(|parent| parent.workspace.as_ref());
                 let workspace = workspace.and_then(|name| workspaces.named(name));
                 let run = workspace.map(|workspace| Self::Run(Rc::clone(workspace)));
-                run.ok_or(KeyRefusal::Missing)
+                run.ok_or(CredentialError::Missing)
             }
         }
     }
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -13,8 +13,8 @@
 
 use crate::clock::{self, LAST_LOOK, Late};
 use crate::dispatch::Trail;
+use crate::entry::CredentialError;
 use crate::entry::Entry;
-use crate::entry::KeyRefusal;
 use crate::entry::answer::Refusal;
 use crate::entry::memory::Guard;
 use crate::entry::pipeline::{Place, Reservation, Weight};
@@ -29,7 +29,7 @@
     /// What came of a request.
     Of(Box<Ended>),
     /// A request is refused for its key, and the connection ends.
-    NoKey(Box<Incoming>, KeyRefusal),
+    NoKey(Box<Incoming>, CredentialError),
     /// What was sent is refused, and the connection ends.
     Last(Refusal, Option<Duration>),
     /// The client may send the body of its request.
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -28,7 +28,7 @@
 use crate::freshness::Freshness;
 use crate::metrics::Metrics;
 use crate::quota::Quotas;
-pub(crate) use caller::KeyRefusal;
+pub(crate) use caller::CredentialError;
 pub(crate) use memory::Memory;
 
 /// The most client connections open at once: each has a descriptor, of which an instance has some
--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -13,7 +13,7 @@
 use crate::contexts::{Context, Contexts};
 use crate::dialect::FieldNames;
 use crate::entry::answer::Refusal;
-use crate::entry::caller::{Caller, KeyRefusal};
+use crate::entry::caller::{Caller, CredentialError};
 use crate::key::AttemptKey;
 use crate::request::Request;
 
@@ -25,7 +25,7 @@
     pub(super) route: Rc<Route>,
     /// The request that it is made for, if that runs in the own upstream.
     pub(super) parent: Option<Rc<Context>>,
-    pub(super) caller: Result<Caller, KeyRefusal>,
+    pub(super) caller: Result<Caller, CredentialError>,
     pub(super) came: Instant,
     pub(super) deadline: Moment,
 }
--- a/crates/mesh/src/events.rs
+++ b/crates/mesh/src/events.rs
@@ -19,7 +19,7 @@
 
 use crate::contexts::Context;
 use crate::dispatch::Trail;
-use crate::entry::KeyRefusal;
+use crate::entry::CredentialError;
 use crate::gate::Finding;
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::metrics::Stage;
@@ -217,7 +217,7 @@
         &self,
         attempt: &AttemptKey,
         kind: &KindName,
-        refusal: KeyRefusal,
+        refusal: CredentialError,
         version: ConfigVersion,
     ) {
         write(
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -8,7 +8,7 @@
 use super::Gate;
 use crate::events::{Bound, Refusal};
 use crate::request::{Request, Response};
-use crate::returns;
+use crate::retry_after;
 
 impl Gate {
     pub(super) fn hold_back(&self, work: &Request, hold: Hold) -> Response {
@@ -34,9 +34,9 @@
             calls: self.admission.in_flight() + self.admission.waiting(),
         });
         let after = match (bound, reason) {
-            (Bound::Path, _) => returns::after_absence(),
-            (_, Reason::OnTrial) => returns::after_trial(),
-            _ => returns::after_overload(self.admission.return_spread(Instant::now())),
+            (Bound::Path, _) => retry_after::no_upstream(),
+            (_, Reason::OnTrial) => retry_after::trial(),
+            _ => retry_after::overload(self.admission.return_spread(Instant::now())),
         };
         Response::refused(reason).with_retry_after(after)
     }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -31,7 +31,7 @@
 mod request;
 mod retired;
 mod retry;
-mod returns;
+mod retry_after;
 mod routing;
 mod scrape;
 mod settings;
--- a/crates/mesh/src/returns.rs
+++ b/crates/mesh/src/retry_after.rs
@@ -21,7 +21,7 @@
 
 /// Returns when a caller is to come back whose node lacks what the store or a neighbour has to
 /// tell it: about when another node has been found that does.
-pub(crate) fn after_outage() -> Duration {
+pub(crate) fn outage() -> Duration {
     OUTAGE_RETURN + OUTAGE_SPREAD.mul_f64(rand::rng().random())
 }
 
@@ -30,17 +30,17 @@
 /// Nobody knows for how long, and most callers try once more only: a late try finds the path
 /// back more often than an early one, and one that waits longer is past what its caller hoped
 /// for. Their returns are spread, so that they do not come at once.
-pub(crate) fn after_absence() -> Duration {
+pub(crate) fn no_upstream() -> Duration {
     ABSENCE_RETURN + ABSENCE_SPREAD.mul_f64(rand::rng().random())
 }
 
 /// Returns when a caller is to come back while another attempt of a request is on trial: a run
 /// later. The trial clears the request, or the caller hears that it is held back.
-pub(crate) fn after_trial() -> Duration {
+pub(crate) fn trial() -> Duration {
     TRIAL_RETURN + TRIAL_SPREAD.mul_f64(rand::rng().random())
 }
 
 /// Returns when a caller is to come back to a full upstream, at some moment within `spread`.
-pub(crate) fn after_overload(spread: Duration) -> Duration {
+pub(crate) fn overload(spread: Duration) -> Duration {
     SHORTEST_RETURN + spread.mul_f64(rand::rng().random())
 }
