--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -33,7 +33,7 @@
 use crate::reload::Reload;
 use crate::retired::Retired;
 use crate::retry::Budget;
-use crate::routing::{Learned, Routing};
+use crate::routing::{Routing, Statistics};
 use crate::scrape::MetricsPort;
 use crate::settings::Settings;
 use crate::status::Status;
@@ -230,11 +230,11 @@
     table.install(Routing {
         name: identity.name.clone(),
         service: identity.service.clone(),
-        local: peers.own_load(&identity.service),
+        local_load: peers.own_load(&identity.service),
         peers,
         upstream: table.find()?,
         admission: table.find()?,
-        learned: Learned::default(),
+        statistics: Statistics::default(),
         metrics: table.find()?,
     });
     table.install(Dispatcher {
--- a/crates/mesh/src/peer/link/mod.rs
+++ b/crates/mesh/src/peer/link/mod.rs
@@ -376,7 +376,7 @@
     fn take_presence(&self, presence: &Presence) {
         if !presence.upstream.is_empty() && *self.upstream.borrow() != presence.upstream {
             self.upstream.replace(presence.upstream.clone());
-            self.load.borrow_mut().renew();
+            self.load.borrow_mut().reset();
         }
         if let Some(member) = &presence.member {
             self.state.set(member.state());
@@ -387,7 +387,7 @@
         let percent = presence.pressure_percent;
         let pace = Pace::from_percent(presence.pace_percent).ok();
         let mut load = self.load.borrow_mut();
-        load.note_told(Instant::now(), percent, pace);
+        load.record_report(Instant::now(), percent, pace);
         drop(load);
         self.news.take(&self.member.name, presence);
         if self.news.wants_store_time() && self.open_pings.get() == 0 {
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -106,7 +106,7 @@
     pub(crate) fn own_load(&self, service: &ServiceName) -> Rc<RefCell<PeerLoad>> {
         let mut by_service = self.by_service.borrow_mut();
         let placed = by_service.entry(service.clone()).or_default();
-        Rc::new(RefCell::new(PeerLoad::beside(&placed.near_levels)))
+        Rc::new(RefCell::new(PeerLoad::with_levels(&placed.near_levels)))
     }
 
     /// Returns the links to nodes whose upstreams this node has sent requests to.
@@ -233,7 +233,7 @@
         } else {
             (&mut placed.far, &placed.far_levels)
         };
-        link.load.replace(PeerLoad::beside(levels));
+        link.load.replace(PeerLoad::with_levels(levels));
         links.push(Rc::clone(&link));
         let name = member.name.clone();
         self.links.borrow_mut().insert(name, Rc::clone(&link));
--- a/crates/mesh/src/routing/load.rs
+++ b/crates/mesh/src/routing/load.rs
@@ -68,7 +68,7 @@
 
 impl PeerLoad {
     /// Returns what is known at first of a node whose service and side are this full.
-    pub(crate) fn beside(levels: &Rc<RefCell<Levels>>) -> Self {
+    pub(crate) fn with_levels(levels: &Rc<RefCell<Levels>>) -> Self {
         Self {
             levels: Rc::clone(levels),
             ..Self::default()
@@ -76,7 +76,7 @@
     }
 
     /// Notes how full the node says that it is, and the pace of its instance.
-    pub(crate) fn note_told(&mut self, now: Instant, percent: u32, pace: Option<Pace>) {
+    pub(crate) fn record_report(&mut self, now: Instant, percent: u32, pace: Option<Pace>) {
         let pressure = Pressure::from_percent(percent);
         self.note_news(now, Importance::Normal.into(), pressure, pace);
     }
@@ -174,12 +174,12 @@
     }
 
     /// Returns how many times as long as the others it takes, and the pace of its instance.
-    pub(crate) fn shown(&self, now: Instant) -> (f64, f64) {
+    pub(crate) fn slowness_and_pace(&self, now: Instant) -> (f64, f64) {
         (self.speed.slowness(now), self.pace.factor(now))
     }
 
     /// Forgets what was learned, as another upstream stands there now.
-    pub(crate) fn renew(&mut self) {
+    pub(crate) fn reset(&mut self) {
         *self = Self {
             outstanding: self.outstanding,
             levels: Rc::clone(&self.levels),
--- a/crates/mesh/src/routing/load/tests.rs
+++ b/crates/mesh/src/routing/load/tests.rs
@@ -89,7 +89,7 @@
         answers(&mut slow, &mut times, now, "read", TIME * 5);
         answers(&mut quick, &mut times, now, "read", TIME);
     }
-    assert!(slow.shown(now).0 > quick.shown(now).0 * 4.0);
+    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 4.0);
     assert!(cost(&slow, now) > cost(&quick, now) * 2.0);
 }
 
@@ -103,7 +103,7 @@
         answers(&mut other, &mut times, now, "read", TIME);
         answers(&mut other, &mut times, now, "search", TIME * 10);
     }
-    assert!(one.shown(now).0 < other.shown(now).0 * 1.2);
+    assert!(one.slowness_and_pace(now).0 < other.slowness_and_pace(now).0 * 1.2);
 }
 
 /// A request that is given up on late shows that the node is slow, though no answer comes.
@@ -115,7 +115,7 @@
         answers(&mut quick, &mut times, now, "read", TIME);
         slow.note_time(now, &mut times, (CLASS, &kind), TIME * 5, None);
     }
-    assert!(slow.shown(now).0 > quick.shown(now).0 * 2.0);
+    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 2.0);
     let mut left = PeerLoad::default();
     left.note_time(now, &mut times, (CLASS, &kind), TIME / 10, None);
     assert!(!left.is_known(), "a client that leaves early tells nothing");
@@ -132,7 +132,7 @@
     assert!(cost(&load, now) > cost(&sound, now) * 10.0);
     let later = now + Duration::from_secs(6);
     assert!(cost(&load, later) < cost(&sound, later) * 1.1);
-    load.renew();
+    load.reset();
     assert!(load.is_available(now), "another upstream did not fail");
 }
 
@@ -145,11 +145,11 @@
         answers(&mut slow, &mut times, now, "read", TIME * 2);
         answers(&mut quick, &mut times, now, "read", TIME);
     }
-    assert!(slow.shown(now).0 > quick.shown(now).0 * 1.5);
+    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 1.5);
     let later = now + Duration::from_secs(30);
     answers(&mut quick, &mut times, later, "read", TIME);
-    assert!(slow.shown(later).0 < quick.shown(later).0 * 1.2);
-    slow.renew();
+    assert!(slow.slowness_and_pace(later).0 < quick.slowness_and_pace(later).0 * 1.2);
+    slow.reset();
     assert!(!slow.is_known(), "another upstream was not slow");
 }
 
@@ -157,7 +157,7 @@
 #[test]
 fn pace_counts() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
-    load.note_told(now, 10, Pace::from_percent(250).ok());
+    load.record_report(now, 10, Pace::from_percent(250).ok());
     let slowness = |after| load.candidate(now + after, 20, CLASS, None).slowness;
     assert!(slowness(Duration::ZERO) > 2.4);
     assert!(slowness(Duration::from_secs(2)) < 1.01);
@@ -167,11 +167,14 @@
 #[test]
 fn silence_is_not_room() {
     let (levels, now) = (Rc::<RefCell<Levels>>::default(), Instant::now());
-    let (mut heard, mut silent) = (PeerLoad::beside(&levels), PeerLoad::beside(&levels));
-    silent.note_told(now, 100, None);
+    let (mut heard, mut silent) = (
+        PeerLoad::with_levels(&levels),
+        PeerLoad::with_levels(&levels),
+    );
+    silent.record_report(now, 100, None);
     let later = now + Duration::from_millis(800);
     for millis in 1..=20 {
-        heard.note_told(now + Duration::from_millis(millis * 40), 100, None);
+        heard.record_report(now + Duration::from_millis(millis * 40), 100, None);
     }
     assert!(silent.candidate(later, 20, CLASS, None).pressure > 0.9);
 }
@@ -186,7 +189,7 @@
         ..Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
     };
     load.note(now, low, &full);
-    load.note_told(now, 100, None);
+    load.record_report(now, 100, None);
     assert!(load.candidate(now, 20, low, None).pressure > 1.7);
     assert!(load.candidate(now, 20, CLASS, None).pressure < 1.1);
 }
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Chooses which upstream of a service gets a request.
 
-mod learned;
 mod load;
+mod statistics;
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Display;
@@ -15,10 +15,10 @@
 use sailtrack_quarantine::Identity;
 use sailtrack_units::{Class, KindName, NodeName, ServiceName};
 
-pub(crate) use learned::Learned;
-use learned::Learning;
 use load::tells_time;
 pub(crate) use load::{Levels, PeerLoad};
+use statistics::History;
+pub(crate) use statistics::Statistics;
 
 use crate::gate::Upstream;
 use crate::metrics::Metrics;
@@ -52,9 +52,9 @@
     pub(crate) upstream: Rc<Upstream>,
     pub(crate) admission: Rc<Admission>,
     /// What is known about the own upstream.
-    pub(crate) local: Rc<RefCell<PeerLoad>>,
+    pub(crate) local_load: Rc<RefCell<PeerLoad>>,
     /// What is known about services.
-    pub(crate) learned: Learned,
+    pub(crate) statistics: Statistics,
     pub(crate) metrics: Rc<Metrics>,
 }
 
@@ -69,9 +69,9 @@
     pub(crate) fn choose(&self, work: &Request, tried: &[NodeName]) -> Option<Target> {
         let now = Instant::now();
         let placed = self.peers.of_service(&work.service).unwrap_or_default();
-        let learning = self.learned.of(&work.service);
+        let history = self.statistics.of(&work.service);
         let is_own = self.takes(&work.service, tried, now);
-        let need = learning.times.borrow().need(&work.kind, work.time_left());
+        let need = history.times.borrow().need(&work.kind, work.time_left());
         let levels = [&placed.near_levels, &placed.far_levels];
         let levels = levels.map(|levels| levels.borrow().at(now, work.class));
         let sides = Sides {
@@ -83,7 +83,7 @@
                 None => Some(self.look_at_own(work.class, now)),
             },
             emptier: levels[0] - levels[1],
-            recent: &learning.recent,
+            recent: &history.recent,
         };
         let (side, place) = choose(&sides, &need, &mut rand::rng())?;
         if side == Side::Far && sides.near > 0 {
@@ -116,13 +116,13 @@
     /// Notes that a request goes to a target; the guard notes its end.
     pub(crate) fn begin(&self, work: &Request, target: &Target) -> Outstanding {
         let owner = match target {
-            Target::Local => Owner::Local(Rc::clone(&self.local)),
+            Target::Local => Owner::Local(Rc::clone(&self.local_load)),
             Target::Remote(link) => Owner::Remote(Rc::clone(link)),
         };
         owner.with(|load| load.outstanding += 1);
         Outstanding {
             owner,
-            learning: self.learned.of(&work.service),
+            history: self.statistics.of(&work.service),
             class: work.class,
             kind: work.kind.clone(),
             began: Instant::now(),
@@ -139,7 +139,7 @@
     fn look_at_own(&self, class: Class, now: Instant) -> Candidate {
         let pressure = self.admission.pressure(now, class);
         let slots = self.upstream.slots();
-        let local = self.local.borrow();
+        let local = self.local_load.borrow();
         local.candidate(now, slots, class, Some(pressure))
     }
 }
@@ -188,7 +188,7 @@
 /// A request that is on its way to a target.
 pub(crate) struct Outstanding {
     owner: Owner,
-    learning: Rc<Learning>,
+    history: Rc<History>,
     class: Class,
     kind: KindName,
     began: Instant,
@@ -215,7 +215,7 @@
     fn learn(&self, returned: Option<&Response>) {
         let now = Instant::now();
         let time = now.saturating_duration_since(self.began);
-        let mut times = self.learning.times.borrow_mut();
+        let mut times = self.history.times.borrow_mut();
         self.owner
             .with(|load| load.note_time(now, &mut times, (self.class, &self.kind), time, returned));
     }
--- a/crates/mesh/src/routing/learned.rs
+++ b/crates/mesh/src/routing/statistics.rs
@@ -12,7 +12,7 @@
 
 /// What is known of one service.
 #[derive(Default)]
-pub(crate) struct Learning {
+pub(crate) struct History {
     /// How long its answers take, by kind.
     pub(crate) times: RefCell<Times>,
     /// Which of its upstreams were the best lately.
@@ -21,22 +21,22 @@
 
 /// What is known of the services.
 #[derive(Default)]
-pub(crate) struct Learned {
-    services: RefCell<HashMap<ServiceName, Rc<Learning>>>,
+pub(crate) struct Statistics {
+    services: RefCell<HashMap<ServiceName, Rc<History>>>,
 }
 
-impl Learned {
+impl Statistics {
     /// Returns what is known of a service.
-    pub(crate) fn of(&self, service: &ServiceName) -> Rc<Learning> {
+    pub(crate) fn of(&self, service: &ServiceName) -> Rc<History> {
         let mut services = self.services.borrow_mut();
-        if let Some(learning) = services.get(service) {
-            return Rc::clone(learning);
+        if let Some(history) = services.get(service) {
+            return Rc::clone(history);
         }
         if services.len() >= MOST_SERVICES {
             services.clear();
         }
-        let learning = Rc::<Learning>::default();
-        services.insert(service.clone(), Rc::clone(&learning));
-        learning
+        let history = Rc::<History>::default();
+        services.insert(service.clone(), Rc::clone(&history));
+        history
     }
 }
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -93,7 +93,7 @@
         let now = Instant::now();
         let used = self.peers.used();
         let shown = used.iter().map(|link| {
-            let (slowness, pace) = link.load.borrow().shown(now);
+            let (slowness, pace) = link.load.borrow().slowness_and_pace(now);
             Shown {
                 node: link.member.name.clone(),
                 service: link.member.service.clone(),
