--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -28,7 +28,7 @@
 use crate::node::{ADMISSION_RULES, Surroundings, store, tasks};
 use crate::peer::{Acceptor, News, Peers};
 use crate::quarantine::Quarantine;
-use crate::quota::{Place as QuotaPlace, Quotas};
+use crate::quota::{Node as QuotaNode, Quotas};
 use crate::ready::ReadyPort;
 use crate::reload::Reload;
 use crate::retired::Retired;
@@ -149,9 +149,9 @@
     ));
     let life_number = life::begin();
     table.install(Quotas::new(
-        QuotaPlace {
-            node: identity.name.clone(),
-            life: life_number,
+        QuotaNode {
+            name: identity.name.clone(),
+            incarnation: life_number,
             domain: identity.domain.clone(),
         },
         settings.quota,
--- a/crates/mesh/src/node/stop.rs
+++ b/crates/mesh/src/node/stop.rs
@@ -14,7 +14,7 @@
 use crate::entry::Entry;
 use crate::gate::Upstream;
 use crate::node::{LOOK, is_stop, start};
-use crate::quota::Allocation;
+use crate::quota::Election;
 use crate::reload::Reload;
 
 /// How long a leaving node goes on taking requests: whoever asks once a second whether it is
@@ -58,8 +58,8 @@
     let stop_time = table.find::<Reload>()?.settings().stop_time.0;
     let longest = stop_time.saturating_sub(RESERVE);
     let mut busy = began;
-    let allocation = table.find::<Allocation>()?;
-    task::spawn("resignation", async move { allocation.resign().await });
+    let election = table.find::<Election>()?;
+    task::spawn("resignation", async move { election.resign().await });
     let entry = table.find::<Entry>()?;
     let upstream = table.find::<Upstream>()?;
     let taking = stop_time.mul_f64(TAKING_SHARE);
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -19,7 +19,7 @@
 use crate::news::keep_telling;
 use crate::node::Surroundings;
 use crate::peer::Peers;
-use crate::quota::{Allocation, Asker, Quotas};
+use crate::quota::{Election, Fetcher, Quotas};
 use crate::reload::{Parts, Reload};
 use crate::settings::Settings;
 use crate::status::Status;
@@ -90,27 +90,27 @@
     let freshness = table.find::<Freshness>()?;
     let changed = Rc::clone(&current);
     current.listen(move || {
-        quotas.take_limits(changed.get().as_deref());
+        quotas.set_limits(changed.get().as_deref());
         freshness.note_version(changed.version(), clock::now());
     });
-    let asker = Asker {
+    let fetcher = Fetcher {
         quotas: table.find()?,
         peers: table.find()?,
     };
-    task::spawn("token questions", asker.keep_asking(wishes));
-    let allocation = table.install(Allocation {
+    task::spawn("token questions", fetcher.run(wishes));
+    let election = table.install(Election {
         quotas: table.find()?,
         peers: table.find()?,
         watch: table.find()?,
         status: table.find()?,
         store: Rc::clone(&surroundings.store),
         started: Instant::now(),
-        renewed: Cell::default(),
-        missing: Cell::default(),
-        unreadable: Cell::default(),
-        resigned: Cell::new(false),
+        last_renewal: Cell::default(),
+        missing_since: Cell::default(),
+        unreadable_since: Cell::default(),
+        has_resigned: Cell::new(false),
     });
-    task::spawn("token allocation", allocation.keep());
+    task::spawn("token allocation", election.run());
     Ok(())
 }
 
--- a/crates/mesh/src/quota/allocation.rs
+++ b/crates/mesh/src/quota/election.rs
@@ -56,7 +56,7 @@
 impl std::error::Error for RoleError {}
 
 /// Takes and keeps the role, for as long as the task lives.
-pub(crate) struct Allocation {
+pub(crate) struct Election {
     pub(crate) quotas: Rc<Quotas>,
     pub(crate) peers: Rc<Peers>,
     pub(crate) watch: Rc<Watch>,
@@ -64,22 +64,22 @@
     pub(crate) store: Rc<dyn Store>,
     pub(crate) started: Instant,
     /// When the lease was renewed last.
-    pub(crate) renewed: Cell<Option<Instant>>,
+    pub(crate) last_renewal: Cell<Option<Instant>>,
     /// Since when no allocator is heard of.
-    pub(crate) missing: Cell<Option<Instant>>,
+    pub(crate) missing_since: Cell<Option<Instant>>,
     /// Since when the row cannot be read.
-    pub(crate) unreadable: Cell<Option<Instant>>,
+    pub(crate) unreadable_since: Cell<Option<Instant>>,
     /// The node stops and takes the role no more.
-    pub(crate) resigned: Cell<bool>,
+    pub(crate) has_resigned: Cell<bool>,
 }
 
-impl Service for Allocation {
+impl Service for Election {
     const NAME: &'static str = "quota-allocation";
 }
 
-impl Allocation {
+impl Election {
     /// Takes the role when nobody has it, and renews the lease in time.
-    pub(crate) async fn keep(self: Rc<Self>) {
+    pub(crate) async fn run(self: Rc<Self>) {
         loop {
             sleep(LOOK).await;
             if !self.is_due() {
@@ -97,7 +97,7 @@
 
     /// Gives the role up, so that another node can take it at once.
     pub(crate) async fn resign(&self) {
-        self.resigned.set(true);
+        self.has_resigned.set(true);
         let was_allocator = self.quotas.is_allocator();
         self.leave();
         if !was_allocator {
@@ -109,22 +109,22 @@
     }
 
     fn is_due(&self) -> bool {
-        if self.resigned.get() || !self.quotas.is_needed() {
+        if self.has_resigned.get() || !self.quotas.is_needed() {
             return false;
         }
         if self.quotas.is_allocator() {
-            let renewed = self.renewed.get();
+            let renewed = self.last_renewal.get();
             let is_old = renewed.is_none_or(|renewed| renewed.elapsed() >= RENEWAL);
             return is_old || self.quotas.is_part_missing.get();
         }
         self.leave();
-        let domain = &self.quotas.place.domain;
+        let domain = &self.quotas.node.domain;
         if self.peers.allocator_of(domain).is_some() {
-            self.missing.set(None);
+            self.missing_since.set(None);
             return false;
         }
-        let missing = self.missing.get().unwrap_or_else(Instant::now);
-        self.missing.set(Some(missing));
+        let missing = self.missing_since.get().unwrap_or_else(Instant::now);
+        self.missing_since.set(Some(missing));
         let before = u32::try_from(self.watch.before()).unwrap_or(u32::MAX);
         self.started.elapsed() >= MEETING_TIME
             && missing.elapsed() >= ORDER_PAUSE.saturating_mul(before)
@@ -134,7 +134,7 @@
     fn leave(&self) {
         let term = self.quotas.term.take();
         if let Some(term) = term {
-            self.renewed.set(None);
+            self.last_renewal.set(None);
             self.status.quota_term.set(0);
             self.status.publish();
             emit(&catalogue::QUOTA_ALLOCATOR_ENDED, &[("term", &term.number)]);
@@ -145,9 +145,9 @@
         let asked = clock::now();
         let (mut parts, version, now) = self.read().await?;
         let claim = self.say();
-        let own = &self.quotas.place;
+        let own = &self.quotas.node;
         let is_gone = |lease: &Lease| {
-            let is_own = lease.holder == own.node && lease.life != own.life.0;
+            let is_own = lease.holder == own.name && lease.life != own.incarnation.0;
             is_own
                 || self
                     .peers
@@ -159,13 +159,13 @@
                 self.write(&parts, version).await?;
             }
             let holder = parts.domains.get(&own.domain);
-            let holder = holder.map_or_else(|| own.node.clone(), |one| one.lease.holder.clone());
+            let holder = holder.map_or_else(|| own.name.clone(), |one| one.lease.holder.clone());
             return Err(RoleError::Held(holder));
         };
         // What is lowered is given up before it is written: somebody else may take it then.
         self.set_parts(&parts, f64::min);
         self.write(&parts, version).await?;
-        if self.resigned.get() {
+        if self.has_resigned.get() {
             // The node has begun to stop meanwhile.
             self.release().await?;
             return Err(RoleError::Stopping);
@@ -206,8 +206,8 @@
         let parts = match parts {
             Err(_) if self.is_unreadable_for_long() => Parts::default(),
             parts => {
-                self.unreadable
-                    .set(self.unreadable.get().filter(|_| parts.is_err()));
+                self.unreadable_since
+                    .set(self.unreadable_since.get().filter(|_| parts.is_err()));
                 parts?
             }
         };
@@ -228,13 +228,13 @@
 
     /// Returns true if the row could not be read for longer than anything of before holds.
     fn is_unreadable_for_long(&self) -> bool {
-        let since = self.unreadable.get().unwrap_or_else(Instant::now);
-        self.unreadable.set(Some(since));
+        let since = self.unreadable_since.get().unwrap_or_else(Instant::now);
+        self.unreadable_since.set(Some(since));
         since.elapsed() >= LEASE + LAPSED
     }
 
     fn say(&self) -> Claim {
-        let place = &self.quotas.place;
+        let node = &self.quotas.node;
         let term = self.quotas.term.borrow();
         let demand = term
             .as_ref()
@@ -242,14 +242,14 @@
             .unwrap_or_default();
         let limited = self.quotas.limits.borrow().keys().cloned().collect();
         Claim {
-            domain: place.domain.clone(),
-            node: place.node.clone(),
-            life: place.life.0,
+            domain: node.domain.clone(),
+            node: node.name.clone(),
+            life: node.incarnation.0,
             is_new: term.is_none(),
             era: self.quotas.clock.era().0,
             knows_copy: self.quotas.clock.copied().is_some(),
             held: self.held(term.as_ref()),
-            domains: self.peers.domains_beside(&place.domain) + 1,
+            domains: self.peers.domains_beside(&node.domain) + 1,
             demand: rounded(demand),
             limited,
         }
@@ -281,7 +281,7 @@
             _ => {
                 let mut allocator = Allocator::new(self.quotas.tolerance.get(), now);
                 allocator.set_limits(&self.quotas.limits.borrow(), now);
-                let domain = parts.domains.get(&self.quotas.place.domain);
+                let domain = parts.domains.get(&self.quotas.node.domain);
                 for (workspace, demand) in domain.iter().flat_map(|domain| &domain.demand) {
                     allocator.set_demand(workspace, *demand, now);
                 }
@@ -297,7 +297,7 @@
     /// Sets each part to what `choose` makes of the next and the present one.
     fn set_parts(&self, parts: &Parts, choose: impl Fn(f64, f64) -> f64) {
         let now = clock::now();
-        let domain = &self.quotas.place.domain;
+        let domain = &self.quotas.node.domain;
         let mut term = self.quotas.term.borrow_mut();
         let Some(term) = term.as_mut() else {
             return;
@@ -312,17 +312,17 @@
 
     async fn release(&self) -> Result<(), RoleError> {
         let (mut parts, version, now) = self.read().await?;
-        let place = &self.quotas.place;
-        if !parts.release(&place.domain, &place.node, place.life.0, now) {
+        let node = &self.quotas.node;
+        if !parts.release(&node.domain, &node.name, node.incarnation.0, now) {
             return Ok(());
         }
         self.write(&parts, version).await
     }
 
     fn note_lease(&self, lease: &Lease) {
-        self.renewed.set(Some(Instant::now()));
+        self.last_renewal.set(Some(Instant::now()));
         self.quotas.is_part_missing.set(false);
-        self.missing.set(None);
+        self.missing_since.set(None);
         if self.status.quota_term.replace(lease.term) != lease.term {
             self.status.publish();
             emit(&catalogue::QUOTA_ALLOCATOR_BEGAN, &[("term", &lease.term)]);
--- a/crates/mesh/src/quota/asker.rs
+++ b/crates/mesh/src/quota/fetcher.rs
@@ -22,13 +22,13 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Fetches tokens for as long as the task lives, one question at a time.
-pub(crate) struct Asker {
+pub(crate) struct Fetcher {
     pub(crate) quotas: Rc<Quotas>,
     pub(crate) peers: Rc<Peers>,
 }
 
-impl Asker {
-    pub(crate) async fn keep_asking(self, mut wanted: mpsc::Receiver<()>) {
+impl Fetcher {
+    pub(crate) async fn run(self, mut wanted: mpsc::Receiver<()>) {
         loop {
             if self.quotas.cache.borrow().is_empty() {
                 // Nothing is fetched ahead for nobody.
@@ -66,13 +66,13 @@
         };
         if quotas.is_allocator() {
             let own = Holder {
-                node: quotas.place.node.clone(),
-                life: quotas.place.life.0,
+                node: quotas.node.name.clone(),
+                life: quotas.node.incarnation.0,
             };
             return Some(quotas.answer(&own, &question)).filter(|answer| !answer.not_allocator);
         }
         // Tokens of another domain count as much, until there is an allocator in the own one.
-        let link = self.peers.allocator_of(&quotas.place.domain);
+        let link = self.peers.allocator_of(&quotas.node.domain);
         let link = link.or_else(|| self.peers.any_allocator())?;
         let answer = timeout(ANSWER_TIME, link.ask_tokens(question)).await;
         if answer.is_err() {
--- a/crates/mesh/src/quota/mod.rs
+++ b/crates/mesh/src/quota/mod.rs
@@ -4,9 +4,9 @@
 //! from the allocator of its failure domain. What is decided is in
 //! `sailtrack-quota`; here it meets links, the store and the clock.
 
-mod allocation;
-mod asker;
+mod election;
 mod expiry;
+mod fetcher;
 mod wire;
 
 use std::cell::{Cell, RefCell};
@@ -22,8 +22,8 @@
 use sailtrack_units::{DomainName, Incarnation, Moment, NodeName, WorkspaceName};
 use sailtrack_wire::{TokenAnswer, TokenQuestion};
 
-pub(crate) use allocation::Allocation;
-pub(crate) use asker::Asker;
+pub(crate) use election::Election;
+pub(crate) use fetcher::Fetcher;
 
 use crate::clock;
 use crate::configuration::{Configuration, Current, Workspaces};
@@ -52,9 +52,9 @@
 
 /// Who this node is among those that keep and fetch tokens.
 #[derive(Debug, Clone)]
-pub(crate) struct Place {
-    pub(crate) node: NodeName,
-    pub(crate) life: Incarnation,
+pub(crate) struct Node {
+    pub(crate) name: NodeName,
+    pub(crate) incarnation: Incarnation,
     pub(crate) domain: DomainName,
 }
 
@@ -67,7 +67,7 @@
 
 /// Lets requests in by the limits of their workspaces.
 pub(crate) struct Quotas {
-    place: Place,
+    node: Node,
     tolerance: Cell<Tolerance>,
     clock: Rc<Clock>,
     current: Rc<Current>,
@@ -91,13 +91,13 @@
 
 impl Quotas {
     pub(crate) fn new(
-        place: Place,
+        node: Node,
         tolerance: Tolerance,
         (clock, current, metrics): (Rc<Clock>, Rc<Current>, Rc<Metrics>),
         wanted: mpsc::Sender<()>,
     ) -> Self {
         Self {
-            place,
+            node,
             tolerance: Cell::new(tolerance),
             clock,
             current,
@@ -156,7 +156,7 @@
     }
 
     /// Takes the limits of a configuration into force.
-    pub(crate) fn take_limits(&self, configuration: Option<&Configuration>) {
+    pub(crate) fn set_limits(&self, configuration: Option<&Configuration>) {
         let workspaces = configuration.and_then(|known| known.workspaces.as_ref());
         let all = workspaces.into_iter().flat_map(Workspaces::all);
         let limits = all.filter_map(|one| Some((one.name.clone(), one.limit?)));
