--- a/crates/mesh/src/entry/admission.rs
+++ b/crates/mesh/src/entry/admission.rs
@@ -31,7 +31,7 @@
             Err(refusal) => *refusal == CredentialError::Unknown,
         };
         // A key that is not known may be new.
-        if has_key && !self.freshness.is_enough(clock::now()) {
+        if has_key && !self.freshness.is_fresh(clock::now()) {
             let after = retry_after::outage();
             let returned = Response::refused(Reason::KeysOutdated).with_retry_after(after);
             return Err(Denial::NotNow(Box::new(returned)));
@@ -58,7 +58,7 @@
 
     /// Refuses a request of a client that comes too late to be finished before the node ends.
     pub(super) fn refuse_late(&self, incoming: &Incoming) -> Option<Response> {
-        let is_late = self.closed.get() && incoming.parent.is_none();
+        let is_late = self.is_closed.get() && incoming.parent.is_none();
         is_late.then(|| Response::refused(Reason::Draining).with_retry_after(CLOSED_RETURN))
     }
 }
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -65,11 +65,11 @@
     pub(crate) in_flight: Rc<Cell<usize>>,
     pub(crate) memory: Memory,
     /// The bytes of finished answers, most of which wait for those ahead of them,
-    pub(crate) ready_bytes: Rc<Cell<usize>>,
+    pub(crate) pending_answer_bytes: Rc<Cell<usize>>,
     /// and from how many on no connection begins a request behind another.
-    pub(crate) most_ready_bytes: Cell<usize>,
+    pub(crate) max_pending_answer_bytes: Cell<usize>,
     /// Set once the rest of a planned stop is needed for what is in flight.
-    pub(crate) closed: Cell<bool>,
+    pub(crate) is_closed: Cell<bool>,
     /// The connections of clients that are open.
     pub(crate) connections: Rc<Cell<usize>>,
 }
@@ -81,7 +81,7 @@
 impl Entry {
     /// Refuses new requests of clients from now on; calls of the own upstream are still taken.
     pub(crate) fn close(&self) {
-        self.closed.set(true);
+        self.is_closed.set(true);
     }
 
     /// Accepts connections for as long as the task lives.
--- a/crates/mesh/src/entry/pipeline.rs
+++ b/crates/mesh/src/entry/pipeline.rs
@@ -60,7 +60,7 @@
     is_exclusive: bool,
     end: End,
     /// The bytes of finished answers on this connection.
-    ready_bytes: usize,
+    pending_answer_bytes: usize,
     /// Those on all connections are too many.
     is_node_full: bool,
 }
@@ -87,8 +87,9 @@
             return self.end != End::Now;
         }
         let is_open = self.end == End::Open;
-        let has_room =
-            self.count < MOST_BEGUN && self.ready_bytes < MOST_READY_BYTES && !self.is_node_full;
+        let has_room = self.count < MOST_BEGUN
+            && self.pending_answer_bytes < MOST_READY_BYTES
+            && !self.is_node_full;
         is_open && has_room && is_idempotent && !self.is_exclusive
     }
 }
@@ -146,8 +147,8 @@
             count: self.len(),
             is_exclusive: self.is_exclusive.get(),
             end,
-            ready_bytes: self.ready.get(),
-            is_node_full: entry.ready_bytes.get() >= entry.most_ready_bytes.get(),
+            pending_answer_bytes: self.ready.get(),
+            is_node_full: entry.pending_answer_bytes.get() >= entry.max_pending_answer_bytes.get(),
         };
         state.has_place(is_idempotent)
     }
@@ -157,7 +158,10 @@
         Place {
             held,
             closed: Rc::clone(&self.closed),
-            ready: [Rc::clone(&self.ready), Rc::clone(&self.entry.ready_bytes)],
+            ready: [
+                Rc::clone(&self.ready),
+                Rc::clone(&self.entry.pending_answer_bytes),
+            ],
         }
     }
 
--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -87,12 +87,12 @@
     }
 
     /// Returns true if keys are believed for a bounded time only.
-    pub(crate) fn is_wanted(&self) -> bool {
+    pub(crate) fn is_bounded(&self) -> bool {
         self.bound.get().is_some()
     }
 
     /// Returns how long a follower of the store waits for changes, if it has to ask again soon.
-    pub(crate) fn renewal(&self, now: Moment) -> Option<Duration> {
+    pub(crate) fn poll_interval(&self, now: Moment) -> Option<Duration> {
         let renewal = self.bound.get()? / RENEWALS;
         Some(if self.is_settling(now) || self.is_new(now) {
             renewal.min(SETTLE)
@@ -125,7 +125,7 @@
     }
 
     /// Takes in that another node has a version.
-    pub(crate) fn note_newest(&self, version: ConfigVersion) {
+    pub(crate) fn observe_version(&self, version: ConfigVersion) {
         self.newest.set(self.newest.get().max(version));
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Takes in that a version came into force.
-    pub(crate) fn note_version(&self, in_force: ConfigVersion, now: Moment) {
+    pub(crate) fn apply_version(&self, in_force: ConfigVersion, now: Moment) {
         let ahead = self.ahead.take();
         let ahead = ahead.filter(|ahead| ahead.era == self.clock.era());
         if let Some(Confirmation { version, as_of, .. }) = ahead {
@@ -205,14 +205,14 @@
     }
 
     /// Returns true if a request with a key that came now may run.
-    pub(crate) fn is_enough(&self, now: Moment) -> bool {
+    pub(crate) fn is_fresh(&self, now: Moment) -> bool {
         let Some(bound) = self.bound.get() else {
             return true;
         };
         let age = self.age(now);
-        let is_enough = age.is_some_and(|age| age + RESERVE < bound);
-        self.note(!is_enough, age);
-        is_enough
+        let is_fresh = age.is_some_and(|age| age + RESERVE < bound);
+        self.note(!is_fresh, age);
+        is_fresh
     }
 
     fn note(&self, is_stopped: bool, age: Option<Duration>) {
--- a/crates/mesh/src/freshness/tests.rs
+++ b/crates/mesh/src/freshness/tests.rs
@@ -29,12 +29,12 @@
 
 #[test]
 fn unbounded() {
-    assert!(known(None).is_enough(at(1000)));
+    assert!(known(None).is_fresh(at(1000)));
 }
 
 #[test]
 fn never_confirmed() {
-    assert!(!known(Some(BOUND)).is_enough(at(1000)));
+    assert!(!known(Some(BOUND)).is_fresh(at(1000)));
 }
 
 #[test]
@@ -43,10 +43,10 @@
     let version = ConfigVersion(3);
     assert!(known.confirm(version, told(51_000), version, at(1000)));
     // Nine tenths of the time are used.
-    assert!(known.is_enough(at(5500)));
-    assert!(!known.is_enough(at(6000)));
+    assert!(known.is_fresh(at(5500)));
+    assert!(!known.is_fresh(at(6000)));
     assert!(known.confirm(version, told(54_000), version, at(4000)));
-    assert!(known.is_enough(at(6000)));
+    assert!(known.is_fresh(at(6000)));
 }
 
 /// What another node says late, or had from another one, counts from the time that it is about.
@@ -56,8 +56,8 @@
     let version = ConfigVersion(3);
     known.confirm(version, told(54_000), version, at(4000));
     assert!(!known.confirm(version, told(52_000), version, at(4500)));
-    assert!(known.is_enough(at(8500)));
-    assert!(!known.is_enough(at(9000)));
+    assert!(known.is_fresh(at(8500)));
+    assert!(!known.is_fresh(at(9000)));
 }
 
 /// A version that is not in force here confirms nothing until it is.
@@ -67,9 +67,9 @@
     let (old, new) = (ConfigVersion(3), ConfigVersion(4));
     known.confirm(old, told(51_000), old, at(1000));
     known.confirm(new, told(55_000), old, at(5000));
-    assert!(!known.is_enough(at(6000)));
-    known.note_version(new, at(5500));
-    assert!(known.is_enough(at(6000)));
+    assert!(!known.is_fresh(at(6000)));
+    known.apply_version(new, at(5500));
+    assert!(known.is_fresh(at(6000)));
 }
 
 /// An older version was the newest one then, so what was taken away by then is gone in a later one.
@@ -86,7 +86,7 @@
     let known = known(Some(BOUND));
     let version = ConfigVersion(3);
     assert!(!known.confirm(version, told(90_000), version, at(1500)));
-    assert!(!known.is_enough(at(1500)));
+    assert!(!known.is_fresh(at(1500)));
 }
 
 /// A store that begins anew is believed again.
@@ -96,9 +96,9 @@
     let version = ConfigVersion(3);
     known.confirm(version, told(51_000), version, at(1000));
     known.clock.note(at(2000), at(2000), told(500));
-    assert!(!known.is_enough(at(2000)));
+    assert!(!known.is_fresh(at(2000)));
     assert!(known.confirm(version, told(500), version, at(2000)));
-    assert!(known.is_enough(at(2000)));
+    assert!(known.is_fresh(at(2000)));
 }
 
 /// Plays a node that follows the store, and one that hears of it from this one alone.
@@ -125,7 +125,7 @@
                 if let Some(age) = node.age(now) {
                     young = young.max(true_age.saturating_sub(age));
                 }
-                is_served &= node.is_enough(now);
+                is_served &= node.is_fresh(now);
             }
             now = now + Duration::from_millis(10);
         }
@@ -187,11 +187,11 @@
 fn proof_outlasts_copy() {
     let known = confirmed();
     assert!(known.clock.hear(Era(2), at(3000)));
-    assert!(known.is_enough(at(3000)));
+    assert!(known.is_fresh(at(3000)));
     assert_eq!(known.as_of(), None, "others are told nothing of it");
     known.clock.note(at(3100), at(3100), told(500));
-    assert!(known.is_enough(at(5500)));
-    assert!(!known.is_enough(at(6000)));
+    assert!(known.is_fresh(at(5500)));
+    assert!(!known.is_fresh(at(6000)));
 }
 
 /// The copy may lack what others have: for a while nothing proves that the version is the newest.
@@ -202,7 +202,7 @@
     known.clock.note(at(3100), at(3100), told(500));
     assert!(!known.confirm(VERSION, told(500), VERSION, at(3100)));
     assert!(known.confirm(VERSION, told(1000), VERSION, at(3600)));
-    assert!(known.is_enough(at(7000)));
+    assert!(known.is_fresh(at(7000)));
     assert_eq!(known.as_of(), Some(told(1000)));
 }
 
@@ -212,7 +212,7 @@
     let known = confirmed();
     known.clock.hear(Era(2), at(3000));
     known.clock.note(at(4000), at(4000), told(52_000));
-    known.note_newest(ConfigVersion(4));
+    known.observe_version(ConfigVersion(4));
     assert!(!known.confirm(VERSION, told(52_000), VERSION, at(4000)));
     assert!(known.confirm(ConfigVersion(4), told(52_000), ConfigVersion(4), at(4000)));
 }
@@ -223,8 +223,8 @@
     let known = confirmed();
     known.clock.hear(Era(2), at(2000));
     assert!(!known.confirm(VERSION, told(90_000), VERSION, at(3000)));
-    assert!(known.is_enough(at(5500)));
-    assert!(!known.is_enough(at(6000)));
+    assert!(known.is_fresh(at(5500)));
+    assert!(!known.is_fresh(at(6000)));
 }
 
 #[test]
@@ -235,7 +235,7 @@
     assert!(!known.clock.hear(Era(2), at(2200)));
     assert!(!known.clock.hear(Era(1), at(2200)));
     assert!(known.clock.hear(Era(3), at(2200)));
-    assert!(known.is_enough(at(5500)));
+    assert!(known.is_fresh(at(5500)));
 }
 
 /// What was said ahead of the version in force goes with its era.
@@ -246,7 +246,7 @@
     known.confirm(new, told(54_000), VERSION, at(4000));
     known.clock.hear(Era(2), at(4100));
     known.clock.note(at(4100), at(4100), told(54_100));
-    known.note_version(new, at(5000));
+    known.apply_version(new, at(5000));
     assert_eq!(known.as_of(), None);
 }
 
@@ -260,7 +260,7 @@
     let known = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
     assert!(!known.confirm_by_store(told(51_000), VERSION, at(1000)));
     assert!(known.confirm(VERSION, told(50_900), VERSION, at(1000)));
-    known.note_newest(ConfigVersion(4));
+    known.observe_version(ConfigVersion(4));
     assert!(!known.confirm_by_store(told(51_500), VERSION, at(1500)));
     let new = ConfigVersion(4);
     assert!(known.confirm_by_store(told(51_600), new, at(1600)));
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -63,7 +63,7 @@
         }
         let version = ConfigVersion(presence.config_version);
         let now = clock::now();
-        self.freshness.note_newest(version);
+        self.freshness.observe_version(version);
         let is_of_era = self.clock.hear(Era(presence.store_era), now);
         if presence.config_as_of_ms > 0 && is_of_era {
             let as_of = StoreTime::from_millis(presence.config_as_of_ms);
@@ -82,7 +82,7 @@
     }
 
     fn wants_store_time(&self) -> bool {
-        self.freshness.is_wanted() && self.clock.is_old(clock::now())
+        self.freshness.is_bounded() && self.clock.is_old(clock::now())
     }
 
     fn take_store_time(&self, era: Era, at: Moment, at_most: StoreTime) {
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -274,9 +274,9 @@
         metrics: table.find()?,
         in_flight: Rc::clone(in_flight),
         memory: Memory::new(settings.body_memory()),
-        ready_bytes: Rc::default(),
-        most_ready_bytes: Cell::new(settings.ready_memory()),
-        closed: Cell::new(false),
+        pending_answer_bytes: Rc::default(),
+        max_pending_answer_bytes: Cell::new(settings.ready_memory()),
+        is_closed: Cell::new(false),
         connections: Rc::default(),
     });
     table.install(Acceptor {
--- a/crates/mesh/src/node/store.rs
+++ b/crates/mesh/src/node/store.rs
@@ -75,7 +75,7 @@
 
     fn wait(&self) -> Duration {
         let now = clock::now();
-        let renewal = self.freshness.renewal(now);
+        let renewal = self.freshness.poll_interval(now);
         let Some(renewal) = renewal.filter(|_| self.watch.is_ours()) else {
             return store::WAIT;
         };
@@ -94,7 +94,7 @@
         let is_news = self
             .freshness
             .confirm_by_store(as_of, version, clock::now());
-        if is_news && self.freshness.is_wanted() {
+        if is_news && self.freshness.is_bounded() {
             // The others count on it at once, and their callers with them.
             self.status.publish();
         }
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -91,7 +91,7 @@
     let changed = Rc::clone(&current);
     current.listen(move || {
         quotas.set_limits(changed.get().as_deref());
-        freshness.note_version(changed.version(), clock::now());
+        freshness.apply_version(changed.version(), clock::now());
     });
     let fetcher = Fetcher {
         quotas: table.find()?,
--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -158,7 +158,10 @@
         };
         parts.budget.set_bounds(next.retry);
         parts.entry.memory.resize(next.body_memory());
-        parts.entry.most_ready_bytes.set(next.ready_memory());
+        parts
+            .entry
+            .max_pending_answer_bytes
+            .set(next.ready_memory());
         parts
             .freshness
             .set_bound(next.revoke_time.map(|time| time.0));
