--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -17,7 +17,7 @@
 pub(crate) fn work(id: &str) -> Request {
     Request {
         workspace: None,
-        progress: 0,
+        completed_calls: 0,
         class: Class::default(),
         attempt: AttemptKey::from(id),
         identity: Hasher::new(&[b"/"], Caller::default()).finish(),
--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -155,7 +155,7 @@
             rank: self.rank(),
             class: self.class(),
             workspace,
-            progress: parent.map_or(0, |parent| parent.answered.get()),
+            completed_calls: parent.map_or(0, |parent| parent.answered.get()),
             is_nested: parent.is_some(),
             is_retry: parent.is_some_and(|parent| parent.repeated),
             deadline: self.deadline,
--- a/crates/mesh/src/peer/convert.rs
+++ b/crates/mesh/src/peer/convert.rs
@@ -75,7 +75,7 @@
         rank: Rank::from_index(rank),
         class: class.ok_or_else(|| error(&"there is no such class"))?,
         // Only the node where a call comes in repeats it.
-        progress: 0,
+        completed_calls: 0,
         is_nested: message.begun,
         is_retry: message.repeated,
         deadline: clock::now() + Duration::from_micros(message.time_left_us),
--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -66,7 +66,7 @@
 fn work() -> Request {
     Request {
         workspace: None,
-        progress: 0,
+        completed_calls: 0,
         class: Class::default(),
         attempt: AttemptKey::from("a1"),
         identity: Hasher::new(&[b"/"], Caller::default()).finish(),
--- a/crates/mesh/src/request.rs
+++ b/crates/mesh/src/request.rs
@@ -31,7 +31,7 @@
     /// On whose behalf it is made, for the calls that are made for it.
     pub(crate) workspace: Option<WorkspaceName>,
     /// How many calls were answered well before it that were made for the same request.
-    pub(crate) progress: u32,
+    pub(crate) completed_calls: u32,
     /// An upstream made it while it worked on another request.
     pub(crate) is_nested: bool,
     /// It, or the request that it is made for, was sent to another upstream before.
--- a/crates/mesh/src/retry.rs
+++ b/crates/mesh/src/retry.rs
@@ -238,5 +238,5 @@
 
 /// Returns the part of the budget that a call may use for what its request has come to already.
 fn progress_part(work: &Request) -> f64 {
-    (PROGRESS_PART * f64::from(work.progress)).min(1.0)
+    (PROGRESS_PART * f64::from(work.completed_calls)).min(1.0)
 }
--- a/crates/mesh/src/retry/tests.rs
+++ b/crates/mesh/src/retry/tests.rs
@@ -21,7 +21,7 @@
 fn work(rank: Rank, is_retry: bool) -> Request {
     Request {
         workspace: None,
-        progress: 0,
+        completed_calls: 0,
         class: Class::default(),
         attempt: AttemptKey::from("a"),
         identity: Hasher::new(&[b"/"], Caller::default()).finish(),
@@ -240,7 +240,7 @@
         let mut answered = 0;
         while answered < 4 {
             let call = Request {
-                progress: if sees_progress { answered } else { 0 },
+                completed_calls: if sees_progress { answered } else { 0 },
                 is_nested: true,
                 ..work(rank, false)
             };
