--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -65,9 +65,9 @@
     pub(crate) in_flight: Rc<Cell<usize>>,
     pub(crate) memory: Memory,
     /// The bytes of finished answers, most of which wait for those ahead of them,
-    pub(crate) pending_answer_bytes: Rc<Cell<usize>>,
+    pub(crate) pending_response_bytes: Rc<Cell<usize>>,
     /// and from how many on no connection begins a request behind another.
-    pub(crate) max_pending_answer_bytes: Cell<usize>,
+    pub(crate) max_pending_response_bytes: Cell<usize>,
     /// Set once the rest of a planned stop is needed for what is in flight.
     pub(crate) is_closed: Cell<bool>,
     /// The connections of clients that are open.
--- a/crates/mesh/src/entry/pipeline.rs
+++ b/crates/mesh/src/entry/pipeline.rs
@@ -60,7 +60,7 @@
     is_exclusive: bool,
     end: End,
     /// The bytes of finished answers on this connection.
-    pending_answer_bytes: usize,
+    pending_response_bytes: usize,
     /// Those on all connections are too many.
     is_node_full: bool,
 }
@@ -88,7 +88,7 @@
         }
         let is_open = self.end == End::Open;
         let has_room = self.count < MOST_BEGUN
-            && self.pending_answer_bytes < MOST_READY_BYTES
+            && self.pending_response_bytes < MOST_READY_BYTES
             && !self.is_node_full;
         is_open && has_room && is_idempotent && !self.is_exclusive
     }
@@ -147,8 +147,9 @@
             count: self.len(),
             is_exclusive: self.is_exclusive.get(),
             end,
-            pending_answer_bytes: self.ready.get(),
-            is_node_full: entry.pending_answer_bytes.get() >= entry.max_pending_answer_bytes.get(),
+            pending_response_bytes: self.ready.get(),
+            is_node_full: entry.pending_response_bytes.get()
+                >= entry.max_pending_response_bytes.get(),
         };
         state.has_place(is_idempotent)
     }
@@ -160,7 +161,7 @@
             closed: Rc::clone(&self.closed),
             ready: [
                 Rc::clone(&self.ready),
-                Rc::clone(&self.entry.pending_answer_bytes),
+                Rc::clone(&self.entry.pending_response_bytes),
             ],
         }
     }
--- a/crates/mesh/src/entry/pipeline/tests.rs
+++ b/crates/mesh/src/entry/pipeline/tests.rs
@@ -5,7 +5,7 @@
     count: 2,
     is_exclusive: false,
     end: End::Open,
-    pending_answer_bytes: 0,
+    pending_response_bytes: 0,
     is_node_full: false,
 };
 
@@ -45,7 +45,7 @@
 fn bounds() {
     let last = State {
         count: MOST_BEGUN - 1,
-        pending_answer_bytes: MOST_READY_BYTES - 1,
+        pending_response_bytes: MOST_READY_BYTES - 1,
         ..READS
     };
     assert!(last.has_place(true));
@@ -55,7 +55,7 @@
             ..READS
         },
         State {
-            pending_answer_bytes: MOST_READY_BYTES,
+            pending_response_bytes: MOST_READY_BYTES,
             ..READS
         },
         State {
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -274,8 +274,8 @@
         metrics: table.find()?,
         in_flight: Rc::clone(in_flight),
         memory: Memory::new(settings.body_memory()),
-        pending_answer_bytes: Rc::default(),
-        max_pending_answer_bytes: Cell::new(settings.ready_memory()),
+        pending_response_bytes: Rc::default(),
+        max_pending_response_bytes: Cell::new(settings.ready_memory()),
         is_closed: Cell::new(false),
         connections: Rc::default(),
     });
--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -160,7 +160,7 @@
         parts.entry.memory.resize(next.body_memory());
         parts
             .entry
-            .max_pending_answer_bytes
+            .max_pending_response_bytes
             .set(next.ready_memory());
         parts
             .freshness
