--- a/crates/mesh/src/gate/entered.rs
+++ b/crates/mesh/src/gate/entered.rs
@@ -10,7 +10,7 @@
 use super::single::Turn;
 use super::upstream::Ended;
 use crate::key::UpstreamKey;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// What a request holds while it is in the own upstream.
 pub(super) struct Entered {
@@ -30,12 +30,12 @@
 
 impl Entered {
     /// Notes what the request met further down; `local` is how full its own upstream is.
-    pub(super) fn note(&self, returned: &Returned, local: Pressure) {
+    pub(super) fn note(&self, returned: &Response, local: Pressure) {
         if let Some(outset) = &self.outset {
             let met = Feedback {
                 local,
                 callees: returned.path_pressure,
-                no_upstream: returned.found_nobody(),
+                no_upstream: returned.found_no_upstream(),
             };
             outset.record(Instant::now(), met);
         }
--- a/crates/mesh/src/routing/load/tests.rs
+++ b/crates/mesh/src/routing/load/tests.rs
@@ -11,8 +11,8 @@
 use sailtrack_wire::Reason;
 
 use crate::body::Body;
+use crate::request::Response;
 use crate::routing::load::{Levels, PeerLoad};
-use crate::work::Returned;
 
 const CLASS: Class = Class {
     workspace: Importance::Normal,
@@ -20,10 +20,10 @@
 };
 const TIME: Duration = Duration::from_millis(20);
 
-fn failed(below: bool) -> Returned {
-    Returned {
+fn failed(below: bool) -> Response {
+    Response {
         failed_below: below,
-        ..Returned::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
+        ..Response::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
     }
 }
 
@@ -53,7 +53,11 @@
 fn turning_away_does_not() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..50 {
-        load.note(now, CLASS, &Returned::turned_away(Reason::UpstreamShed));
+        load.note(
+            now,
+            CLASS,
+            &Response::rejected_by_upstream(Reason::UpstreamShed),
+        );
     }
     assert!(load.is_available(now));
     let sound = PeerLoad::default();
@@ -71,7 +75,7 @@
 
 /// Notes answers of a kind that took so long.
 fn answers(load: &mut PeerLoad, times: &mut Latencies, now: Instant, kind: &str, time: Duration) {
-    let answer = Returned::answered(200, Bytes::new(), Body::Whole(Bytes::new()));
+    let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()));
     let kind = kind.parse().expect("a name");
     load.note(now, CLASS, &answer);
     load.note_time(now, times, (CLASS, &kind), time, Some(&answer));
@@ -85,7 +89,7 @@
         answers(&mut slow, &mut times, now, "read", TIME * 5);
         answers(&mut quick, &mut times, now, "read", TIME);
     }
-    assert!(slow.shown(now).0 > quick.shown(now).0 * 4.0);
+    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 4.0);
     assert!(cost(&slow, now) > cost(&quick, now) * 2.0);
 }
 
@@ -99,7 +103,7 @@
         answers(&mut other, &mut times, now, "read", TIME);
         answers(&mut other, &mut times, now, "search", TIME * 10);
     }
-    assert!(one.shown(now).0 < other.shown(now).0 * 1.2);
+    assert!(one.slowness_and_pace(now).0 < other.slowness_and_pace(now).0 * 1.2);
 }
 
 /// A request that is given up on late shows that the node is slow, though no answer comes.
@@ -111,7 +115,7 @@
         answers(&mut quick, &mut times, now, "read", TIME);
         slow.note_time(now, &mut times, (CLASS, &kind), TIME * 5, None);
     }
-    assert!(slow.shown(now).0 > quick.shown(now).0 * 2.0);
+    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 2.0);
     let mut left = PeerLoad::default();
     left.note_time(now, &mut times, (CLASS, &kind), TIME / 10, None);
     assert!(!left.is_known(), "a client that leaves early tells nothing");
@@ -128,7 +132,7 @@
     assert!(cost(&load, now) > cost(&sound, now) * 10.0);
     let later = now + Duration::from_secs(6);
     assert!(cost(&load, later) < cost(&sound, later) * 1.1);
-    load.renew();
+    load.reset();
     assert!(load.is_available(now), "another upstream did not fail");
 }
 
@@ -141,11 +145,11 @@
         answers(&mut slow, &mut times, now, "read", TIME * 2);
         answers(&mut quick, &mut times, now, "read", TIME);
     }
-    assert!(slow.shown(now).0 > quick.shown(now).0 * 1.5);
+    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 1.5);
     let later = now + Duration::from_secs(30);
     answers(&mut quick, &mut times, later, "read", TIME);
-    assert!(slow.shown(later).0 < quick.shown(later).0 * 1.2);
-    slow.renew();
+    assert!(slow.slowness_and_pace(later).0 < quick.slowness_and_pace(later).0 * 1.2);
+    slow.reset();
     assert!(!slow.is_known(), "another upstream was not slow");
 }
 
@@ -153,7 +157,7 @@
 #[test]
 fn pace_counts() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
-    load.note_told(now, 10, Pace::from_percent(250).ok());
+    load.record_report(now, 10, Pace::from_percent(250).ok());
     let slowness = |after| load.candidate(now + after, 20, CLASS, None).slowness;
     assert!(slowness(Duration::ZERO) > 2.4);
     assert!(slowness(Duration::from_secs(2)) < 1.01);
@@ -163,11 +167,14 @@
 #[test]
 fn silence_is_not_room() {
     let (levels, now) = (Rc::<RefCell<Levels>>::default(), Instant::now());
-    let (mut heard, mut silent) = (PeerLoad::beside(&levels), PeerLoad::beside(&levels));
-    silent.note_told(now, 100, None);
+    let (mut heard, mut silent) = (
+        PeerLoad::with_levels(&levels),
+        PeerLoad::with_levels(&levels),
+    );
+    silent.record_report(now, 100, None);
     let later = now + Duration::from_millis(800);
     for millis in 1..=20 {
-        heard.note_told(now + Duration::from_millis(millis * 40), 100, None);
+        heard.record_report(now + Duration::from_millis(millis * 40), 100, None);
     }
     assert!(silent.candidate(later, 20, CLASS, None).pressure > 0.9);
 }
@@ -177,12 +184,12 @@
 fn full_for_what_matters_less() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     let low = Class::from(Importance::Low);
-    let full = Returned {
+    let full = Response {
         pressure: Pressure(1.8),
-        ..Returned::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
+        ..Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
     };
     load.note(now, low, &full);
-    load.note_told(now, 100, None);
+    load.record_report(now, 100, None);
     assert!(load.candidate(now, 20, low, None).pressure > 1.7);
     assert!(load.candidate(now, 20, CLASS, None).pressure < 1.1);
 }
@@ -192,9 +199,9 @@
 fn held_back_is_sound() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..50 {
-        let held = Returned {
+        let held = Response {
             absent_below: true,
-            ..Returned::refused(Reason::NoUpstream)
+            ..Response::refused(Reason::NoUpstream)
         };
         load.note(now, CLASS, &held);
     }
