--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -56,7 +56,7 @@
     pub(crate) first_start: bool,
     pub(crate) started: Instant,
     /// Whether a beat of a new life is being looked into.
-    pub(crate) looking: Cell<bool>,
+    pub(crate) is_looking_up: Cell<bool>,
     /// The last life that this process has acknowledged to leave, of each id.
     pub(crate) acknowledged: RefCell<BTreeMap<String, UpstreamKey>>,
 }
@@ -66,9 +66,9 @@
 }
 
 /// The handler of the port.
-pub(crate) struct AnnouncementPort(pub(crate) Rc<Announcements>);
+pub(crate) struct Endpoint(pub(crate) Rc<Announcements>);
 
-impl Handler for AnnouncementPort {
+impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         let announcements = &self.0;
         match announcements.read(&request) {
@@ -148,7 +148,7 @@
             self.upstream.take(&beat, now);
             return;
         }
-        if self.looking.replace(true) {
+        if self.is_looking_up.replace(true) {
             return;
         }
         let announcements = Rc::clone(self);
@@ -157,7 +157,7 @@
                 announcements.hear_news().await;
                 announcements.upstream.take(&beat, Instant::now());
             }
-            announcements.looking.set(false);
+            announcements.is_looking_up.set(false);
         });
     }
 
@@ -172,7 +172,7 @@
     /// Asks the own upstream who it is, so that a node that is back does not wait for a beat.
     ///
     /// An upstream announces itself every 1.5 s, and goes without work until then.
-    pub(crate) async fn ask_upstream(self: Rc<Self>, current: Rc<Current>) {
+    pub(crate) async fn probe_upstream(self: Rc<Self>, current: Rc<Current>) {
         while current.get().is_none() {
             sleep(LOOK).await;
         }
--- a/crates/mesh/src/announcement/retirement.rs
+++ b/crates/mesh/src/announcement/retirement.rs
@@ -49,7 +49,7 @@
     /// The store suffices; while it does not answer, the other nodes do.
     async fn remember(&self, upstream: &UpstreamKey) -> bool {
         let stored = std::pin::pin!(self.store_retired(upstream));
-        let witnessed = std::pin::pin!(self.peers.retire(upstream));
+        let witnessed = std::pin::pin!(self.peers.replicate_retirement(upstream));
         match select(stored, witnessed).await {
             Either::Left((true, _)) => true,
             Either::Left((false, witnessed)) => witnessed.await,
@@ -59,7 +59,7 @@
 
     /// Writes the rows of what was acknowledged again, since the store came back from a copy: another
     /// process of this node would believe a late beat.
-    pub(crate) fn restore(self: &Rc<Self>) {
+    pub(crate) fn restore_rows(self: &Rc<Self>) {
         let work = Rc::clone(self);
         let era = self.clock.era();
         task::spawn("retired rows", async move {
--- a/crates/mesh/src/cleanup.rs
+++ b/crates/mesh/src/cleanup.rs
@@ -30,7 +30,7 @@
     loop {
         let forget_after = reload.settings().forget_after.0;
         sleep(forget_after / LOOKS).await;
-        for name in peers.lost_for(forget_after) {
+        for name in peers.unreachable_for(forget_after) {
             // A version of an earlier era may by now be that of another row.
             let version = directory.row_version(&name);
             let Some(version) = version.filter(|version| version.era == clock.era()) else {
--- a/crates/mesh/src/configuration/current.rs
+++ b/crates/mesh/src/configuration/current.rs
@@ -49,7 +49,7 @@
     }
 
     /// Calls `changed` after each new version.
-    pub(crate) fn listen(&self, changed: impl Fn() + 'static) {
+    pub(crate) fn on_change(&self, changed: impl Fn() + 'static) {
         self.changed.borrow_mut().push(Box::new(changed));
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Logs a configuration that cannot be read; the present version stays in force.
-    pub(crate) fn refuse(&self, reason: &dyn fmt::Display) {
+    pub(crate) fn log_rejected(&self, reason: &dyn fmt::Display) {
         let version = self.version.get();
         emit(
             &catalogue::CONFIG_REFUSED,
@@ -81,7 +81,7 @@
     /// or, if a store that came back from a copy has other content under the same one, by its era.
     pub(crate) fn offer(&self, text: &str, source: Source) -> Result<(), DialectError> {
         let read = self.dialect.configuration(text);
-        let configuration = read.inspect_err(|error| self.refuse(error))?;
+        let configuration = read.inspect_err(|error| self.log_rejected(error))?;
         let version = configuration.version.cmp(&self.version.get());
         let era = match source {
             Source::Store(era) => era,
--- a/crates/mesh/src/configuration/fetch.rs
+++ b/crates/mesh/src/configuration/fetch.rs
@@ -23,7 +23,7 @@
 
 /// A node that has a newer configuration than this one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Holder {
+pub(crate) struct Provider {
     pub(crate) name: NodeName,
     pub(crate) version: ConfigVersion,
     /// It stands in the own failure domain.
@@ -31,36 +31,36 @@
 }
 
 /// Asks other nodes for configurations, for as long as the task lives.
-pub(crate) struct Fetch {
+pub(crate) struct Fetcher {
     pub(crate) peers: Rc<Peers>,
     pub(crate) current: Rc<Current>,
     pub(crate) watch: Rc<Watch>,
 }
 
-impl Fetch {
-    pub(crate) async fn keep_fetching(self, mut holders: mpsc::Receiver<Holder>) {
-        while let Some(holder) = holders.next().await {
-            if !self.is_newer(&holder) {
+impl Fetcher {
+    pub(crate) async fn run(self, mut providers: mpsc::Receiver<Provider>) {
+        while let Some(provider) = providers.next().await {
+            if !self.is_newer(&provider) {
                 continue;
             }
-            let holder = self.nearest(holder, &mut holders).await;
-            if self.is_newer(&holder) {
-                self.fetch(&holder).await;
+            let provider = self.nearest(provider, &mut providers).await;
+            if self.is_newer(&provider) {
+                self.fetch(&provider).await;
             }
         }
     }
 
-    fn is_newer(&self, holder: &Holder) -> bool {
-        holder.version > self.current.version()
+    fn is_newer(&self, provider: &Provider) -> bool {
+        provider.version > self.current.version()
     }
 
     /// Returns whom to ask, after waiting for what is nearer. A node without any configuration
     /// does not wait.
-    async fn nearest(&self, first: Holder, holders: &mut mpsc::Receiver<Holder>) -> Holder {
+    async fn nearest(&self, first: Provider, providers: &mut mpsc::Receiver<Provider>) -> Provider {
         if self.current.get().is_none() {
             return first;
         }
-        if self.watch.is_ours() {
+        if self.watch.is_active() {
             sleep(HEAD_START).await;
             return first;
         }
@@ -69,20 +69,20 @@
         // its requests for 0.4 s at 200 Mbit/s.
         let mut known = vec![first.clone()];
         let pause = HEAD_START.mul_f64(rand::rng().random_range(0.0..1.0));
-        gather(pause, holders, &mut known).await;
-        if !known.iter().any(|holder| holder.is_near) {
-            gather(HEAD_START.saturating_sub(pause), holders, &mut known).await;
+        gather(pause, providers, &mut known).await;
+        if !known.iter().any(|provider| provider.is_near) {
+            gather(HEAD_START.saturating_sub(pause), providers, &mut known).await;
         }
-        let newest = known.iter().map(|holder| holder.version).max();
-        known.retain(|holder| Some(holder.version) == newest);
-        if known.iter().any(|holder| holder.is_near) {
-            known.retain(|holder| holder.is_near);
+        let newest = known.iter().map(|provider| provider.version).max();
+        known.retain(|provider| Some(provider.version) == newest);
+        if known.iter().any(|provider| provider.is_near) {
+            known.retain(|provider| provider.is_near);
         }
         known.into_iter().choose(&mut rand::rng()).unwrap_or(first)
     }
 
-    async fn fetch(&self, holder: &Holder) {
-        let Some(link) = self.peers.get(&holder.name) else {
+    async fn fetch(&self, provider: &Provider) {
+        let Some(link) = self.peers.get(&provider.name) else {
             return;
         };
         let before = self.current.version();
@@ -95,10 +95,14 @@
 }
 
 /// Collects for a while who has a newer configuration.
-async fn gather(time: Duration, holders: &mut mpsc::Receiver<Holder>, known: &mut Vec<Holder>) {
+async fn gather(
+    time: Duration,
+    providers: &mut mpsc::Receiver<Provider>,
+    known: &mut Vec<Provider>,
+) {
     let gathering = async {
-        while let Some(holder) = holders.next().await {
-            known.push(holder);
+        while let Some(provider) = providers.next().await {
+            known.push(provider);
         }
     };
     // It ends by its time only.
--- a/crates/mesh/src/configuration/mod.rs
+++ b/crates/mesh/src/configuration/mod.rs
@@ -13,7 +13,7 @@
 use sailtrack_units::{ConfigVersion, ServiceName};
 
 pub(crate) use current::{Current, Source};
-pub(crate) use fetch::{Fetch, Holder};
+pub(crate) use fetch::{Fetcher, Provider};
 pub use route::{Route, RouteBuilder, Share};
 pub(crate) use split::Splitter;
 pub use workspace::{Credential, Workspace, WorkspaceError, Workspaces};
--- a/crates/mesh/src/configuration/workspace.rs
+++ b/crates/mesh/src/configuration/workspace.rs
@@ -106,13 +106,13 @@
 
     /// Returns the workspace that holds a key.
     #[must_use]
-    pub fn holder(&self, key: &[u8]) -> Option<&Rc<Workspace>> {
+    pub fn find_by_key(&self, key: &[u8]) -> Option<&Rc<Workspace>> {
         self.by_key.get(&self.digest(key))
     }
 
     /// Returns the workspace with a name.
     #[must_use]
-    pub fn named(&self, name: &WorkspaceName) -> Option<&Rc<Workspace>> {
+    pub fn find_by_name(&self, name: &WorkspaceName) -> Option<&Rc<Workspace>> {
         self.by_name.get(name)
     }
 
--- a/crates/mesh/src/directory.rs
+++ b/crates/mesh/src/directory.rs
@@ -88,7 +88,7 @@
     fn joined(&self, member: &Rc<Member>);
 
     /// The row of a node is gone; returns true if the node is to be forgotten.
-    fn is_gone(&self, member: &Member) -> bool;
+    fn should_forget(&self, member: &Member) -> bool;
 }
 
 /// The nodes that this one knows.
@@ -131,7 +131,7 @@
     }
 
     /// Calls `lost` when the row of this node is missing in the store.
-    pub(crate) fn when_own_row_lost(&self, lost: impl Fn() + 'static) {
+    pub(crate) fn on_own_row_lost(&self, lost: impl Fn() + 'static) {
         *self.own_row_lost.borrow_mut() = Some(Rc::new(lost));
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Takes in what is known about a node.
-    pub(crate) fn learn(&self, member: Member) {
+    pub(crate) fn upsert(&self, member: Member) {
         if member.name == self.own.name {
             return;
         }
@@ -210,14 +210,14 @@
             return;
         };
         let observer = self.observer.borrow().clone();
-        if observer.is_none_or(|observer| observer.is_gone(&member)) {
+        if observer.is_none_or(|observer| observer.should_forget(&member)) {
             emit(&catalogue::MEMBER_DEAD, &[("node", &member.name)]);
             self.members.borrow_mut().remove(&member.name);
         }
     }
 
     /// Takes in that the row of this node may be lost: it is looked for again.
-    pub(crate) fn doubt_own_row(&self) {
+    pub(crate) fn mark_own_row_unverified(&self) {
         self.has_own_row.set(false);
     }
 
@@ -280,7 +280,7 @@
         let member = read.inspect_err(|_| {
             self.foreign.borrow_mut().insert(row.key.clone());
         })?;
-        self.learn(member);
+        self.upsert(member);
         Ok(())
     }
 }
@@ -306,7 +306,7 @@
     }
 
     /// Takes in rows that changed.
-    pub(crate) fn change(&self, rows: &[Row]) {
+    pub(crate) fn apply_changes(&self, rows: &[Row]) {
         self.take_all(rows);
     }
 }
--- a/crates/mesh/src/directory/tests.rs
+++ b/crates/mesh/src/directory/tests.rs
@@ -16,7 +16,7 @@
 fn directory(others: u16) -> Directory {
     let directory = Directory::new(member(0));
     for number in 1..=others {
-        directory.learn(member(number));
+        directory.upsert(member(number));
     }
     directory
 }
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -229,7 +229,7 @@
 async fn attempt_remote(work: &Work, link: &Link) -> Returned {
     if !work.idempotent {
         return match link.forward(work).await {
-            Delivery::Returned(returned) => returned,
+            Delivery::Answered(returned) => returned,
             Delivery::Unsent => Returned::refused(Reason::Connection),
             Delivery::Lost(life) => link.recall(&work.attempt, life).await,
         };
@@ -237,7 +237,7 @@
     let forward = std::pin::pin!(link.forward(work));
     let silence = std::pin::pin!(wait_for_silence(link));
     match select(forward, silence).await {
-        Either::Left((Delivery::Returned(returned), _)) => returned,
+        Either::Left((Delivery::Answered(returned), _)) => returned,
         Either::Left((Delivery::Unsent, _)) => Returned::refused(Reason::Connection),
         Either::Left((Delivery::Lost(_), _)) | Either::Right(_) => {
             Returned::unknown(Reason::Connection)
--- a/crates/mesh/src/entry/caller.rs
+++ b/crates/mesh/src/entry/caller.rs
@@ -50,7 +50,7 @@
         let (first, second) = (keys.next(), keys.next());
         match (first, second) {
             (Some(key), None) => {
-                let holder = workspaces.holder(key);
+                let holder = workspaces.find_by_key(key);
                 holder
                     .map(|holder| Self::Client(Rc::clone(holder)))
                     .ok_or(KeyRefusal::Unknown)
@@ -59,7 +59,7 @@
             // Upstreams have no keys.
             (None, _) => {
                 let workspace = parent.and_then(|parent| parent.workspace.as_ref());
-                let workspace = workspace.and_then(|name| workspaces.named(name));
+                let workspace = workspace.and_then(|name| workspaces.find_by_name(name));
                 let run = workspace.map(|workspace| Self::Run(Rc::clone(workspace)));
                 run.ok_or(KeyRefusal::Missing)
             }
--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -103,14 +103,14 @@
 
     /// Returns true while other nodes are given time to tell of versions that a copy lacks.
     fn is_settling(&self, now: Moment) -> bool {
-        let copied = self.clock.copied();
+        let copied = self.clock.restored_at();
         copied.is_some_and(|copied| now.since(copied) < SETTLE)
     }
 
     /// Returns true while a node that starts has had little time to meet others: what it reads may be
     /// from a copy.
     fn is_new(&self, now: Moment) -> bool {
-        let met = self.clock.met();
+        let met = self.clock.first_era_seen_at();
         met.is_some_and(|met| now.since(met) < SETTLE)
     }
 
@@ -140,7 +140,7 @@
         in_force: ConfigVersion,
         now: Moment,
     ) -> bool {
-        self.clock.note_shown(now, as_of);
+        self.clock.record_observed_time(now, as_of);
         let era = self.clock.era();
         if version > in_force {
             self.ahead.replace(Some(Confirmation {
@@ -155,7 +155,7 @@
         if is_behind || self.is_settling(now) {
             return false;
         }
-        let at_most = self.clock.at_most(now);
+        let at_most = self.clock.upper_bound(now);
         let is_ahead = |time: StoreTime| at_most.is_some_and(|at_most| time > at_most);
         // Before the first reading of an era its times say nothing, and what was proved before holds.
         if is_ahead(as_of) || at_most.is_none() && era > Era::default() {
@@ -166,7 +166,7 @@
         let known = known.filter(|known| !is_ahead(known.as_of));
         let is_news = known.is_none_or(|known| as_of > known.as_of);
         if is_news {
-            let age = self.clock.age_at_most(as_of, now).unwrap_or_default();
+            let age = self.clock.max_age(as_of, now).unwrap_or_default();
             let at = now.before(age);
             self.proof.set(Some(Proof { as_of, era, at }));
         }
@@ -198,7 +198,7 @@
     /// A proof of an earlier era still says what was the newest then, and ages by the own clock.
     pub(crate) fn age(&self, now: Moment) -> Option<Duration> {
         if let Some(known) = self.known() {
-            return self.clock.age_at_most(known.as_of, now);
+            return self.clock.max_age(known.as_of, now);
         }
         let passed = now.since(self.proof.get()?.at);
         Some(passed + passed.mul_f64(CLOCK_DRIFT))
--- a/crates/mesh/src/freshness/tests.rs
+++ b/crates/mesh/src/freshness/tests.rs
@@ -23,7 +23,7 @@
 /// Returns what a node knows that asked the store at 1 s of its own clock, 51 s of the store's.
 fn known(bound: Option<Duration>) -> Freshness {
     let clock = Rc::new(Clock::default());
-    clock.note(at(1000), at(1000), told(51_000));
+    clock.record(at(1000), at(1000), told(51_000));
     Freshness::new(clock, Rc::new(Metrics::new()), bound)
 }
 
@@ -95,7 +95,7 @@
     let known = known(Some(BOUND));
     let version = ConfigVersion(3);
     known.confirm(version, told(51_000), version, at(1000));
-    known.clock.note(at(2000), at(2000), told(500));
+    known.clock.record(at(2000), at(2000), told(500));
     assert!(!known.is_enough(at(2000)));
     assert!(known.confirm(version, told(500), version, at(2000)));
     assert!(known.is_enough(at(2000)));
@@ -130,13 +130,13 @@
             now = now + Duration::from_millis(10);
         }
         now = answer.answered;
-        follower.clock.note(answer.asked, now, answer.told);
+        follower.clock.record(answer.asked, now, answer.told);
         follower.confirm(version, answer.told, version, now);
         peer.confirm(version, answer.told, version, now);
-        if peer.clock.is_old(now)
-            && let Some(at_most) = follower.clock.told_at_most(now)
+        if peer.clock.is_stale(now)
+            && let Some(at_most) = follower.clock.published_bound(now)
         {
-            peer.clock.note_at_most(now, at_most);
+            peer.clock.record_peer_bound(now, at_most);
             peer.confirm(version, answer.told, version, now);
         }
         is_known = true;
@@ -174,8 +174,8 @@
 /// Returns what a node knows at 1 s in the first era, confirmed then.
 fn confirmed() -> Freshness {
     let clock = Rc::new(Clock::default());
-    clock.hear(Era(1), at(900));
-    clock.note(at(1000), at(1000), told(51_000));
+    clock.observe_era(Era(1), at(900));
+    clock.record(at(1000), at(1000), told(51_000));
     let known = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
     assert!(known.confirm(VERSION, told(51_000), VERSION, at(1000)));
     known
@@ -186,10 +186,10 @@
 #[test]
 fn proof_outlasts_copy() {
     let known = confirmed();
-    assert!(known.clock.hear(Era(2), at(3000)));
+    assert!(known.clock.observe_era(Era(2), at(3000)));
     assert!(known.is_enough(at(3000)));
     assert_eq!(known.as_of(), None, "others are told nothing of it");
-    known.clock.note(at(3100), at(3100), told(500));
+    known.clock.record(at(3100), at(3100), told(500));
     assert!(known.is_enough(at(5500)));
     assert!(!known.is_enough(at(6000)));
 }
@@ -198,8 +198,8 @@
 #[test]
 fn settles_after_copy() {
     let known = confirmed();
-    known.clock.hear(Era(2), at(3000));
-    known.clock.note(at(3100), at(3100), told(500));
+    known.clock.observe_era(Era(2), at(3000));
+    known.clock.record(at(3100), at(3100), told(500));
     assert!(!known.confirm(VERSION, told(500), VERSION, at(3100)));
     assert!(known.confirm(VERSION, told(1000), VERSION, at(3600)));
     assert!(known.is_enough(at(7000)));
@@ -210,8 +210,8 @@
 #[test]
 fn others_have_newer() {
     let known = confirmed();
-    known.clock.hear(Era(2), at(3000));
-    known.clock.note(at(4000), at(4000), told(52_000));
+    known.clock.observe_era(Era(2), at(3000));
+    known.clock.record(at(4000), at(4000), told(52_000));
     known.note_newest(ConfigVersion(4));
     assert!(!known.confirm(VERSION, told(52_000), VERSION, at(4000)));
     assert!(known.confirm(ConfigVersion(4), told(52_000), ConfigVersion(4), at(4000)));
@@ -221,7 +221,7 @@
 #[test]
 fn era_without_reading() {
     let known = confirmed();
-    known.clock.hear(Era(2), at(2000));
+    known.clock.observe_era(Era(2), at(2000));
     assert!(!known.confirm(VERSION, told(90_000), VERSION, at(3000)));
     assert!(known.is_enough(at(5500)));
     assert!(!known.is_enough(at(6000)));
@@ -230,11 +230,11 @@
 #[test]
 fn era_is_over() {
     let known = confirmed();
-    assert!(known.clock.hear(Era(2), at(2000)));
-    assert!(known.clock.hear(Era(3), at(2100)));
-    assert!(!known.clock.hear(Era(2), at(2200)));
-    assert!(!known.clock.hear(Era(1), at(2200)));
-    assert!(known.clock.hear(Era(3), at(2200)));
+    assert!(known.clock.observe_era(Era(2), at(2000)));
+    assert!(known.clock.observe_era(Era(3), at(2100)));
+    assert!(!known.clock.observe_era(Era(2), at(2200)));
+    assert!(!known.clock.observe_era(Era(1), at(2200)));
+    assert!(known.clock.observe_era(Era(3), at(2200)));
     assert!(known.is_enough(at(5500)));
 }
 
@@ -244,8 +244,8 @@
     let known = confirmed();
     let new = ConfigVersion(4);
     known.confirm(new, told(54_000), VERSION, at(4000));
-    known.clock.hear(Era(2), at(4100));
-    known.clock.note(at(4100), at(4100), told(54_100));
+    known.clock.observe_era(Era(2), at(4100));
+    known.clock.record(at(4100), at(4100), told(54_100));
     known.note_version(new, at(5000));
     assert_eq!(known.as_of(), None);
 }
@@ -255,8 +255,8 @@
 #[test]
 fn starts_after_copy() {
     let clock = Rc::new(Clock::default());
-    clock.hear(Era(2), at(900));
-    clock.note(at(1000), at(1000), told(51_000));
+    clock.observe_era(Era(2), at(900));
+    clock.record(at(1000), at(1000), told(51_000));
     let known = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
     assert!(!known.confirm_by_store(told(51_000), VERSION, at(1000)));
     assert!(known.confirm(VERSION, told(50_900), VERSION, at(1000)));
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/gossip.rs
@@ -11,11 +11,11 @@
 use sailtrack_wire::{Evidence, Member as MemberMessage, Presence};
 
 use crate::clock;
-use crate::configuration::{Current, Holder};
+use crate::configuration::{Current, Provider};
 use crate::directory::{Directory, Member};
 use crate::freshness::Freshness;
 use crate::key::UpstreamKey;
-use crate::peer::News;
+use crate::peer::Delegate;
 use crate::quarantine::Quarantine;
 use crate::retired::Retired;
 use crate::status::Status;
@@ -27,7 +27,7 @@
 const INTERVAL_FOR_EACH: Duration = Duration::from_millis(10);
 
 /// Takes in what other nodes say about themselves and pass on.
-pub(crate) struct Listener {
+pub(crate) struct Handler {
     pub(crate) directory: Rc<Directory>,
     pub(crate) current: Rc<Current>,
     pub(crate) retired: Rc<Retired>,
@@ -36,19 +36,19 @@
     pub(crate) freshness: Rc<Freshness>,
     pub(crate) clock: Rc<Clock>,
     /// Whom to ask for a newer configuration.
-    pub(crate) holders: RefCell<mpsc::Sender<Holder>>,
+    pub(crate) providers: RefCell<mpsc::Sender<Provider>>,
 }
 
-impl News for Listener {
-    fn interval(&self) -> Duration {
+impl Delegate for Handler {
+    fn heartbeat_interval(&self) -> Duration {
         interval(self.directory.len())
     }
 
-    fn hello(&self) -> MemberMessage {
+    fn local_member(&self) -> MemberMessage {
         self.status.member()
     }
 
-    fn take(&self, from: &NodeName, presence: &Presence) {
+    fn handle_presence(&self, from: &NodeName, presence: &Presence) {
         for upstream in &presence.retired {
             // Nodes pass on what they could read; what this one cannot read names nobody here.
             if let Ok(life) = upstream.parse::<UpstreamKey>() {
@@ -58,44 +58,44 @@
         for known in &presence.known {
             // A node that cannot be read here is met when it connects itself.
             if let Ok(member) = Member::from_wire(known) {
-                self.directory.learn(member);
+                self.directory.upsert(member);
             }
         }
         let version = ConfigVersion(presence.config_version);
         let now = clock::now();
         self.freshness.note_newest(version);
-        let is_of_era = self.clock.hear(Era(presence.store_era), now);
+        let is_of_era = self.clock.observe_era(Era(presence.store_era), now);
         if presence.config_as_of_ms > 0 && is_of_era {
             let as_of = StoreTime::from_millis(presence.config_as_of_ms);
             let in_force = self.current.version();
             self.freshness.confirm(version, as_of, in_force, now);
         }
         if version > self.current.version() {
-            let holder = Holder {
+            let provider = Provider {
                 name: from.clone(),
                 version,
                 is_near: self.directory.is_near(from),
             };
             // A full channel holds others that can be asked, and this one says it again.
-            let _ = self.holders.borrow_mut().try_send(holder);
+            let _ = self.providers.borrow_mut().try_send(provider);
         }
     }
 
     fn wants_store_time(&self) -> bool {
-        self.freshness.is_wanted() && self.clock.is_old(clock::now())
+        self.freshness.is_wanted() && self.clock.is_stale(clock::now())
     }
 
-    fn take_store_time(&self, era: Era, at: Moment, at_most: StoreTime) {
-        if self.clock.hear(era, clock::now()) {
-            self.clock.note_at_most(at, at_most);
+    fn handle_store_time(&self, era: Era, at: Moment, at_most: StoreTime) {
+        if self.clock.observe_era(era, clock::now()) {
+            self.clock.record_peer_bound(at, at_most);
         }
     }
 
-    fn take_evidence(&self, evidence: &Evidence) {
+    fn handle_evidence(&self, evidence: &Evidence) {
         self.quarantine.take(evidence);
     }
 
-    fn take_lost(&self, upstream: &UpstreamKey, ran: &[Ran]) {
+    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Ran]) {
         if !self.retired.contains(upstream) {
             self.quarantine.note_lost(upstream, ran);
         }
@@ -108,7 +108,7 @@
 }
 
 /// Says what this node is like, for as long as the task lives.
-pub(crate) async fn keep_telling(status: Rc<Status>, directory: Rc<Directory>) {
+pub(crate) async fn publish_periodically(status: Rc<Status>, directory: Rc<Directory>) {
     loop {
         sleep(interval(directory.len())).await;
         status.publish();
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -18,10 +18,10 @@
 mod events;
 mod freshness;
 mod gate;
+mod gossip;
 mod key;
 mod life;
 mod metrics;
-mod news;
 mod node;
 mod peer;
 mod quarantine;
@@ -52,7 +52,7 @@
 pub use node::Surroundings;
 pub use settings::{Ports, RetryBounds, Settings};
 pub use store::{
-    Content, Operation, Reading, Row, Rows, Store, StoreError, StoreTime, StoreVersion, Table,
+    Content, Lookup, Operation, Row, Rows, Store, StoreError, StoreTime, StoreVersion, Table,
 };
 
 /// Runs a node until it is stopped.
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -13,8 +13,8 @@
 use sailtrack_net::http::{Limits, Port, serve};
 use sailtrack_net::task;
 
-use crate::announcement::{AnnouncementPort, Announcements};
-use crate::configuration::{Current, Holder, Splitter};
+use crate::announcement::{Announcements, Endpoint};
+use crate::configuration::{Current, Provider, Splitter};
 use crate::contexts::Contexts;
 use crate::directory::{Directory, Member, Observer};
 use crate::dispatch::Dispatcher;
@@ -22,11 +22,11 @@
 use crate::events::Events;
 use crate::freshness::Freshness;
 use crate::gate::{Builder as GateBuilder, Gate, Records, Upstream};
+use crate::gossip::Handler;
 use crate::life;
 use crate::metrics::Metrics;
-use crate::news::Listener;
 use crate::node::{ADMISSION_RULES, Surroundings, store, tasks};
-use crate::peer::{Acceptor, News, Peers};
+use crate::peer::{Acceptor, Delegate, Peers};
 use crate::quarantine::Quarantine;
 use crate::quota::{Place as QuotaPlace, Quotas};
 use crate::ready::ReadyPort;
@@ -37,12 +37,12 @@
 use crate::scrape::MetricsPort;
 use crate::settings::Settings;
 use crate::status::Status;
-use crate::store::{Clock, Reach};
+use crate::store::{Clock, Reachability};
 use crate::wake::Wake;
 use crate::watch::Watch;
 
 /// How many nodes with a newer configuration wait to be asked.
-const HOLDERS: usize = 16;
+const PROVIDERS: usize = 16;
 
 /// The sockets of a node, all open before anything is started.
 struct Sockets {
@@ -64,7 +64,7 @@
     let sockets = open(settings)?;
     let (wanted, wishes) = mpsc::channel(1);
     install_state(table, settings, surroundings, life, wanted)?;
-    let holders = install_network(table, settings)?;
+    let providers = install_network(table, settings)?;
     install_path(table, settings, surroundings, in_flight)?;
     install_intake(table, settings, surroundings, life, in_flight)?;
     tasks::listen(table, settings)?;
@@ -72,7 +72,7 @@
     tasks::keep_quotas(table, surroundings, wishes)?;
     tasks::ramp_up_together(table)?;
     store::follow_store(table, settings, surroundings)?;
-    tasks::meet_peers(table, holders)?;
+    tasks::meet_peers(table, providers)?;
     start_ports(table, surroundings, life, sockets)
 }
 
@@ -125,7 +125,7 @@
     table.install(Reload::new(settings.clone()));
     table.install(Events::default());
     table.install(Metrics::new());
-    table.install(Reach::default());
+    table.install(Reachability::default());
     table.install(Retired::default());
     table.install(Contexts::default());
     table.install(Records::default());
@@ -176,9 +176,9 @@
     Ok(())
 }
 
-fn install_network(table: &Table, settings: &Settings) -> Result<mpsc::Receiver<Holder>, Error> {
-    let (holders, receiver) = mpsc::channel(HOLDERS);
-    let listener: Rc<dyn News> = Rc::new(Listener {
+fn install_network(table: &Table, settings: &Settings) -> Result<mpsc::Receiver<Provider>, Error> {
+    let (providers, receiver) = mpsc::channel(PROVIDERS);
+    let listener: Rc<dyn Delegate> = Rc::new(Handler {
         directory: table.find()?,
         current: table.find()?,
         retired: table.find()?,
@@ -186,7 +186,7 @@
         quarantine: table.find()?,
         freshness: table.find()?,
         clock: table.find()?,
-        holders: RefCell::new(holders),
+        providers: RefCell::new(providers),
     });
     let domain = settings.identity.domain.clone();
     let peers = Peers::new(settings.ports.peer.ip(), domain, listener);
@@ -230,7 +230,7 @@
     table.install(Routing {
         name: identity.name.clone(),
         service: identity.service.clone(),
-        local: peers.own_load(&identity.service),
+        local: peers.local_load(&identity.service),
         peers,
         upstream: table.find()?,
         admission: table.find()?,
@@ -301,7 +301,7 @@
         address: settings.upstream,
         first_start: settings.first_start,
         started: Instant::now(),
-        looking: Cell::new(false),
+        is_looking_up: Cell::new(false),
         acknowledged: RefCell::default(),
     });
     Ok(())
@@ -318,7 +318,7 @@
         phase: life.watch(),
         current: table.find()?,
     });
-    let announcements = Rc::new(AnnouncementPort(table.find()?));
+    let announcements = Rc::new(Endpoint(table.find()?));
     if let Some(port) = sockets.metrics {
         let metrics = Rc::new(MetricsPort {
             metrics: table.find()?,
--- a/crates/mesh/src/node/store.rs
+++ b/crates/mesh/src/node/store.rs
@@ -23,16 +23,17 @@
 use crate::settings::Settings;
 use crate::status::Status;
 use crate::store::{
-    self, Clock, Content, Follower, Pace, Reach, Row, Store, StoreTime, Table as StoreTable, follow,
+    self, Clock, Content, Debounce, Follower, Reachability, Row, Store, StoreTime,
+    Table as StoreTable, follow,
 };
 use crate::watch::Watch;
 
 /// How long changes of members are gathered. Nodes that start together write their rows within
 /// some 0.3 s. Later a new node connects to those that it finds, so others know it before they
 /// read its row.
-const PACE: Pace = Pace {
-    whole: Duration::from_millis(400),
-    changes: Duration::from_millis(1500),
+const DEBOUNCE: Debounce = Debounce {
+    after_snapshot: Duration::from_millis(400),
+    after_changes: Duration::from_millis(1500),
 };
 /// How long every node follows the configuration after the store came back from a copy.
 const COPY_TIME: Duration = Duration::from_mins(1);
@@ -59,29 +60,29 @@
 impl Follower for ConfigurationRows {
     /// After a copy every node reads what is there, and follows for a while: what is written again
     /// may repeat a version with other content, and nodes that have that version fetch no other.
-    fn is_due(&self) -> bool {
-        let copied = self.clock.copied();
+    fn wants_changes(&self) -> bool {
+        let copied = self.clock.restored_at();
         let is_new = |copied: Moment| clock::now().since(copied) < COPY_TIME;
-        self.watch.is_ours() || self.era.get() != self.clock.era() || copied.is_some_and(is_new)
+        self.watch.is_active() || self.era.get() != self.clock.era() || copied.is_some_and(is_new)
     }
 
-    fn hear(&self, era: Era) -> bool {
-        self.clock.hear(era, clock::now())
+    fn observe_era(&self, era: Era) -> bool {
+        self.clock.observe_era(era, clock::now())
     }
 
     fn era(&self) -> Era {
         self.clock.era()
     }
 
-    fn wait(&self) -> Duration {
+    fn poll_timeout(&self) -> Duration {
         let now = clock::now();
         let renewal = self.freshness.renewal(now);
-        let Some(renewal) = renewal.filter(|_| self.watch.is_ours()) else {
-            return store::WAIT;
+        let Some(renewal) = renewal.filter(|_| self.watch.is_active()) else {
+            return store::LONG_POLL_TIMEOUT;
         };
         // An answer that waited for changes tells little of what the clock shows by now.
         let was_read = now.since(self.read_clock.get()) < renewal;
-        if was_read || !self.clock.is_due(now) {
+        if was_read || !self.clock.needs_refresh(now) {
             return renewal;
         }
         self.read_clock.set(now);
@@ -89,7 +90,7 @@
     }
 
     fn confirm(&self, asked: Moment, as_of: StoreTime) {
-        self.clock.note(asked, clock::now(), as_of);
+        self.clock.record(asked, clock::now(), as_of);
         let version = self.current.version();
         let is_news = self
             .freshness
@@ -102,10 +103,10 @@
 
     fn reset(&self, rows: &[Row]) {
         self.era.set(self.clock.era());
-        self.change(rows);
+        self.apply_changes(rows);
     }
 
-    fn change(&self, rows: &[Row]) {
+    fn apply_changes(&self, rows: &[Row]) {
         for row in rows {
             match &row.content {
                 // What cannot be read is logged there, and the present version stays in force.
@@ -113,7 +114,7 @@
                     let era = self.clock.era();
                     drop(self.current.offer(text, Source::Store(era)));
                 }
-                Content::Unreadable(reason) => self.current.refuse(reason),
+                Content::Unreadable(reason) => self.current.log_rejected(reason),
                 Content::Removed => {}
             }
         }
@@ -130,32 +131,32 @@
 impl Follower for MemberRows {
     /// A node follows until it has seen its own row, so that it misses none that was written
     /// meanwhile. Nodes that start later connect to it themselves.
-    fn is_due(&self) -> bool {
-        !self.directory.has_own_row() || self.watch.is_ours()
+    fn wants_changes(&self) -> bool {
+        !self.directory.has_own_row() || self.watch.is_active()
     }
 
-    fn hear(&self, era: Era) -> bool {
-        self.clock.hear(era, clock::now())
+    fn observe_era(&self, era: Era) -> bool {
+        self.clock.observe_era(era, clock::now())
     }
 
     fn era(&self) -> Era {
         self.clock.era()
     }
 
-    fn pace(&self) -> Pace {
-        PACE
+    fn debounce(&self) -> Debounce {
+        DEBOUNCE
     }
 
     fn confirm(&self, asked: Moment, as_of: StoreTime) {
-        self.clock.note(asked, clock::now(), as_of);
+        self.clock.record(asked, clock::now(), as_of);
     }
 
     fn reset(&self, rows: &[Row]) {
         self.directory.reset(rows);
     }
 
-    fn change(&self, rows: &[Row]) {
-        self.directory.change(rows);
+    fn apply_changes(&self, rows: &[Row]) {
+        self.directory.apply_changes(rows);
     }
 }
 
@@ -179,16 +180,18 @@
     if !settings.first_start {
         let announcements = table.find::<Announcements>()?;
         let current = table.find::<Current>()?;
-        task::spawn("upstream probe", announcements.ask_upstream(current));
+        task::spawn("upstream probe", announcements.probe_upstream(current));
     }
     let status = table.find::<Status>()?;
-    table.find::<Reach>()?.listen(move || status.publish());
+    table
+        .find::<Reachability>()?
+        .on_change(move || status.publish());
     let status = table.find::<Status>()?;
     let directory = table.find::<Directory>()?;
     let announcements = table.find::<Announcements>()?;
-    table.find::<Clock>()?.listen(move || {
-        directory.doubt_own_row();
-        announcements.restore();
+    table.find::<Clock>()?.on_restore(move || {
+        directory.mark_own_row_unverified();
+        announcements.restore_rows();
         status.publish();
     });
     Ok(())
@@ -205,7 +208,7 @@
         era: Cell::default(),
     });
     let store = Rc::clone(&surroundings.store);
-    let reach = table.find::<Reach>()?;
+    let reach = table.find::<Reachability>()?;
     let following = follow(store, StoreTable::Configuration, reach, rows);
     task::spawn("configuration", following);
     Ok(())
@@ -223,7 +226,7 @@
         clock: table.find()?,
     });
     let store = Rc::clone(&surroundings.store);
-    let reach = table.find::<Reach>()?;
+    let reach = table.find::<Reachability>()?;
     let is_first = settings.first_start;
     task::spawn("members", async move {
         if is_first {
@@ -241,7 +244,7 @@
     let directory = table.find::<Directory>()?;
     let (lost, mut losses) = mpsc::channel(1);
     let lost = RefCell::new(lost);
-    directory.when_own_row_lost(move || {
+    directory.on_own_row_lost(move || {
         // A full channel holds the same news.
         let _ = lost.borrow_mut().try_send(());
     });
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -11,12 +11,12 @@
 use sailtrack_net::task;
 
 use crate::clock;
-use crate::configuration::{Current, Fetch, Holder};
+use crate::configuration::{Current, Fetcher, Provider};
 use crate::directory::Directory;
 use crate::freshness::Freshness;
 use crate::gate::{Gate, Upstream};
+use crate::gossip::publish_periodically;
 use crate::metrics::Metrics;
-use crate::news::keep_telling;
 use crate::node::Surroundings;
 use crate::peer::Peers;
 use crate::quota::{Allocation, Asker, Quotas};
@@ -39,7 +39,7 @@
     let gate = table.find::<Gate>()?;
     let service = settings.identity.service.clone();
     let bounded = Rc::clone(&current);
-    current.listen(move || {
+    current.on_change(move || {
         let configuration = bounded.get();
         let rules = configuration
             .as_ref()
@@ -56,12 +56,12 @@
     upstream.listen_to_new(move || gate.note_new_life());
     let metrics = table.find::<Metrics>()?;
     let counted = Rc::clone(&current);
-    current.listen(move || {
+    current.on_change(move || {
         metrics.bound(counted.get().map_or(0, |current| current.route_count()));
     });
     let status = table.find::<Status>()?;
     let told = Rc::clone(&status);
-    current.listen(move || told.publish());
+    current.on_change(move || told.publish());
     upstream.listen(move || status.publish());
     Ok(())
 }
@@ -89,7 +89,7 @@
     let quotas = table.find::<Quotas>()?;
     let freshness = table.find::<Freshness>()?;
     let changed = Rc::clone(&current);
-    current.listen(move || {
+    current.on_change(move || {
         quotas.take_limits(changed.get().as_deref());
         freshness.note_version(changed.version(), clock::now());
     });
@@ -129,7 +129,7 @@
         let (windows, peers) = (Rc::clone(&windows), Rc::clone(&peers));
         task::spawn("ramp up", async move {
             while started.elapsed() < YOUNG_TIME {
-                if peers.are_older(life, YOUNG_TIME) {
+                if peers.majority_started_before(life, YOUNG_TIME) {
                     windows.end_ramp_up();
                     return;
                 }
@@ -141,16 +141,16 @@
 }
 
 /// Starts what tells other nodes and asks them.
-pub(super) fn meet_peers(table: &Table, holders: mpsc::Receiver<Holder>) -> Result<(), Error> {
+pub(super) fn meet_peers(table: &Table, providers: mpsc::Receiver<Provider>) -> Result<(), Error> {
     let status = table.find::<Status>()?;
     let directory = table.find::<Directory>()?;
-    task::spawn("presence", keep_telling(status, directory));
+    task::spawn("presence", publish_periodically(status, directory));
     task::spawn("wake", table.find::<Wake>()?.keep_looking());
-    let fetch = Fetch {
+    let fetch = Fetcher {
         peers: table.find()?,
         current: table.find()?,
         watch: table.find()?,
     };
-    task::spawn("configuration fetch", fetch.keep_fetching(holders));
+    task::spawn("configuration fetch", fetch.run(providers));
     Ok(())
 }
--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -31,7 +31,7 @@
 use crate::gate::Gate;
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::peer::convert::{CHUNK, FIRST_GRANT, returned_to_wire, work_from_wire};
-use crate::peer::parts::Parts;
+use crate::peer::reassembly::Reassembly;
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
 use crate::retired::Retired;
@@ -66,7 +66,7 @@
 #[derive(Default)]
 struct Open {
     running: RefCell<HashMap<u64, AbortHandle>>,
-    arriving: RefCell<HashMap<u64, Parts<Forward>>>,
+    arriving: RefCell<HashMap<u64, Reassembly<Forward>>>,
     /// Where the grants for streamed answers go.
     granting: RefCell<HashMap<u64, mpsc::UnboundedSender<u32>>>,
 }
@@ -128,7 +128,7 @@
             return;
         };
         match Member::from_wire(member) {
-            Ok(member) => self.directory.learn(member),
+            Ok(member) => self.directory.upsert(member),
             Err(error) => refuse(&error),
         }
     }
@@ -175,7 +175,7 @@
     }
 
     fn pong(&self) -> Pong {
-        let at_most = self.clock.told_at_most(clock::now());
+        let at_most = self.clock.published_bound(clock::now());
         Pong {
             store_at_most_ms: at_most.map_or(0, StoreTime::millis),
             store_era: self.clock.era().0,
@@ -196,7 +196,7 @@
             return;
         }
         let first = std::mem::take(&mut message.body);
-        match Parts::new(message, &first, length) {
+        match Reassembly::new(message, &first, length) {
             Some(parts) => {
                 open.arriving.borrow_mut().insert(exchange, parts);
             }
--- a/crates/mesh/src/peer/link/connection.rs
+++ b/crates/mesh/src/peer/link/connection.rs
@@ -29,7 +29,7 @@
 
 impl Link {
     /// Keeps the connection open for as long as the link is wanted.
-    pub(crate) async fn keep(self: Rc<Self>) {
+    pub(crate) async fn run(self: Rc<Self>) {
         let mut pause = FIRST_PAUSE;
         while !self.closed.get() {
             let result = self.connect_and_run().await;
@@ -52,7 +52,7 @@
         let (read, write) = dialed.stream.into_split();
         let (mut outgoing, frames) = mpsc::channel(OUTGOING_CAPACITY);
         // The channel is new and empty, so the first message has room.
-        let _ = outgoing.try_send(hello(self.news.hello()));
+        let _ = outgoing.try_send(hello(self.news.local_member()));
         let reading = std::pin::pin!(self.read(FrameReader::new(read), outgoing));
         let writing = std::pin::pin!(write_frames(write, frames));
         match select(reading, writing).await {
@@ -71,7 +71,7 @@
         *self.outgoing.borrow_mut() = Some(outgoing);
         self.open(&hello);
         loop {
-            let patience = self.news.interval() * DEAD_INTERVALS;
+            let patience = self.news.heartbeat_interval() * DEAD_INTERVALS;
             let message = timeout(patience, reader.next()).await;
             let message = message.map_err(|_| ConnectionError::Dial(DialError::Timeout))??;
             self.note_heard();
--- a/crates/mesh/src/peer/link/liveness.rs
+++ b/crates/mesh/src/peer/link/liveness.rs
@@ -37,7 +37,8 @@
     /// After a suspension of this instance every node does, until it is heard again.
     pub(crate) fn is_silent(&self) -> bool {
         let silence = clock::now().since(self.heard.get());
-        silence > self.news.interval() * SILENT_INTERVALS || self.unanswered.get() >= SILENT_PINGS
+        silence > self.news.heartbeat_interval() * SILENT_INTERVALS
+            || self.unanswered.get() >= SILENT_PINGS
     }
 
     /// Notes that something came from the node.
@@ -53,7 +54,7 @@
             let at_most = StoreTime::from_millis(pong.store_at_most_ms);
             let era = Era(pong.store_era);
             self.news
-                .take_store_time(era, self.first_ping.get(), at_most);
+                .handle_store_time(era, self.first_ping.get(), at_most);
         }
     }
 
--- a/crates/mesh/src/peer/link/mod.rs
+++ b/crates/mesh/src/peer/link/mod.rs
@@ -26,12 +26,12 @@
 use crate::clock;
 use crate::directory::Member;
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::peer::News;
+use crate::peer::Delegate;
 use crate::peer::convert::{CHUNK, work_to_wire};
 use crate::peer::link::lost::Lost;
-use crate::peer::parts::Parts;
+use crate::peer::reassembly::Reassembly;
 use crate::routing::PeerLoad;
-use crate::watch::Place;
+use crate::watch::Priority;
 use crate::work::{Returned, Work};
 
 /// How long a lost request is asked for before its fate is taken for unknown.
@@ -49,7 +49,7 @@
 /// What became of a request that was handed to a link.
 pub(crate) enum Delivery {
     /// The other node answered.
-    Returned(Returned),
+    Answered(Returned),
     /// Nothing was sent.
     Unsent,
     /// The connection to this life of the other node broke before the answer came.
@@ -61,10 +61,10 @@
     pub(crate) member: Rc<Member>,
     pub(crate) load: RefCell<PeerLoad>,
     source: IpAddr,
-    news: Rc<dyn News>,
+    news: Rc<dyn Delegate>,
     outgoing: RefCell<Option<mpsc::Sender<Body>>>,
     pending: RefCell<HashMap<u64, Pending>>,
-    replies: RefCell<HashMap<u64, Parts<Reply>>>,
+    replies: RefCell<HashMap<u64, Reassembly<Reply>>>,
     /// Where the chunks of streamed bodies go.
     streams: RefCell<HashMap<u64, mpsc::UnboundedSender<Chunk>>>,
     fetching: RefCell<Vec<oneshot::Sender<Config>>>,
@@ -90,7 +90,7 @@
     /// Another node was found at its address.
     strange: Cell<bool>,
     /// Where the node stands among those that follow the store.
-    place: Place,
+    place: Priority,
     /// The store does not answer it.
     store_lost: Cell<bool>,
     /// Its term as the allocator of its failure domain's tokens; zero if it is not.
@@ -101,9 +101,9 @@
 }
 
 impl Link {
-    pub(crate) fn new(member: Rc<Member>, source: IpAddr, news: Rc<dyn News>) -> Rc<Self> {
+    pub(crate) fn new(member: Rc<Member>, source: IpAddr, news: Rc<dyn Delegate>) -> Rc<Self> {
         Rc::new_cyclic(|own| Self {
-            place: Place::of(&member.name),
+            place: Priority::of(&member.name),
             member,
             load: RefCell::default(),
             source,
@@ -141,7 +141,7 @@
     }
 
     /// Returns the life of the node; zero while it is not connected.
-    pub(crate) fn life(&self) -> Incarnation {
+    pub(crate) fn incarnation(&self) -> Incarnation {
         self.life.get()
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Asks the node for tokens; returns nothing if the question is lost.
-    pub(crate) async fn ask_tokens(&self, question: TokenQuestion) -> Option<TokenAnswer> {
+    pub(crate) async fn request_tokens(&self, question: TokenQuestion) -> Option<TokenAnswer> {
         let (sender, receiver) = oneshot::channel();
         self.asking.borrow_mut().insert(question.exchange, sender);
         if !self.is_open() || !self.send(Body::TokenQuestion(question)) {
@@ -177,12 +177,12 @@
     }
 
     /// Gives up all questions for tokens.
-    pub(crate) fn forget_questions(&self) {
+    pub(crate) fn cancel_token_requests(&self) {
         self.asking.borrow_mut().clear();
     }
 
     /// Returns where the node stands among those that follow the store.
-    pub(crate) fn place(&self) -> Place {
+    pub(crate) fn priority(&self) -> Priority {
         self.place
     }
 
@@ -193,7 +193,7 @@
 
     /// Returns for how long the node could not be reached while this instance tried to: a
     /// suspension of this one says nothing about the other.
-    pub(crate) fn lost_for(&self, now: Instant) -> Duration {
+    pub(crate) fn unreachable_for(&self, now: Instant) -> Duration {
         let since = self.lost_since.get();
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
@@ -216,7 +216,7 @@
             return Delivery::Unsent;
         }
         let delivery = match self.await_reply(receiver).await {
-            Ok(returned) => Delivery::Returned(returned),
+            Ok(returned) => Delivery::Answered(returned),
             Err(_) => Delivery::Lost(life),
         };
         guard.forget();
@@ -256,7 +256,7 @@
     ///
     /// A connection that is just being opened is waited for: after a start an upstream may leave
     /// before its node has met the others.
-    pub(crate) async fn retire(&self, upstream: &UpstreamKey) -> bool {
+    pub(crate) async fn replicate_retirement(&self, upstream: &UpstreamKey) -> bool {
         while !self.is_open() {
             sleep(LOOK).await;
         }
@@ -347,7 +347,7 @@
             Body::Reply(reply) => self.take_reply(reply),
             Body::Chunk(chunk) => self.take_chunk(chunk),
             Body::Presence(presence) => self.take_presence(&presence),
-            Body::Evidence(evidence) => self.news.take_evidence(&evidence),
+            Body::Evidence(evidence) => self.news.handle_evidence(&evidence),
             Body::Retired(retired) => {
                 let waiting = self.pending.borrow_mut().remove(&retired.exchange);
                 if let Some(Pending::Retired(sender)) = waiting {
@@ -389,12 +389,12 @@
         let mut load = self.load.borrow_mut();
         load.note_told(Instant::now(), percent, pace);
         drop(load);
-        self.news.take(&self.member.name, presence);
+        self.news.handle_presence(&self.member.name, presence);
         if self.news.wants_store_time() && self.open_pings.get() == 0 {
             self.ping();
         }
         if let Some((upstream, ran)) = self.lost.settle(&presence.upstream) {
-            self.news.take_lost(&upstream, &ran);
+            self.news.handle_crash(&upstream, &ran);
         }
     }
 
@@ -403,7 +403,7 @@
         self.state.set(State::Joining);
         self.quota_term.set(0);
         self.open_pings.set(0);
-        self.forget_questions();
+        self.cancel_token_requests();
         *self.outgoing.borrow_mut() = None;
         let pending = std::mem::take(&mut *self.pending.borrow_mut());
         let ran = pending.into_values().filter_map(|pending| match pending {
--- a/crates/mesh/src/peer/link/replies.rs
+++ b/crates/mesh/src/peer/link/replies.rs
@@ -8,7 +8,7 @@
 use crate::body::{Body as AnswerBody, Stream};
 use crate::peer::convert::returned_from_wire;
 use crate::peer::link::{Link, Pending};
-use crate::peer::parts::Parts;
+use crate::peer::reassembly::Reassembly;
 use crate::peer::source::LinkSource;
 use crate::work::Returned;
 
@@ -32,7 +32,7 @@
             );
             return;
         }
-        match Parts::new(reply, &first, length) {
+        match Reassembly::new(reply, &first, length) {
             Some(parts) => {
                 self.replies.borrow_mut().insert(exchange, parts);
             }
--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -20,7 +20,7 @@
 use crate::clock::tests::SUSPENSIONS;
 use crate::directory::Member;
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::peer::News;
+use crate::peer::Delegate;
 use crate::peer::link::{Delivery, Link};
 use crate::store::StoreTime;
 use crate::work::Work;
@@ -32,26 +32,26 @@
 
 struct Quiet(MemberMessage, Duration);
 
-impl News for Quiet {
-    fn interval(&self) -> Duration {
+impl Delegate for Quiet {
+    fn heartbeat_interval(&self) -> Duration {
         self.1
     }
 
-    fn hello(&self) -> MemberMessage {
+    fn local_member(&self) -> MemberMessage {
         self.0.clone()
     }
 
-    fn take(&self, _from: &NodeName, _presence: &Presence) {}
+    fn handle_presence(&self, _from: &NodeName, _presence: &Presence) {}
 
     fn wants_store_time(&self) -> bool {
         false
     }
 
-    fn take_store_time(&self, _: Era, _: Moment, _: StoreTime) {}
+    fn handle_store_time(&self, _: Era, _: Moment, _: StoreTime) {}
 
-    fn take_evidence(&self, _evidence: &Evidence) {}
+    fn handle_evidence(&self, _evidence: &Evidence) {}
 
-    fn take_lost(&self, _upstream: &UpstreamKey, _ran: &[Ran]) {}
+    fn handle_crash(&self, _upstream: &UpstreamKey, _ran: &[Ran]) {}
 }
 
 fn member(address: std::net::SocketAddr) -> Member {
@@ -117,7 +117,7 @@
             play(stream, told, works).await;
         });
         let link = Link::new(Rc::new(member), local, Rc::new(Quiet(own, INTERVAL)));
-        task::spawn("link", Rc::clone(&link).keep());
+        task::spawn("link", Rc::clone(&link).run());
         while !link.is_open() {
             sleep(Duration::from_millis(5)).await;
         }
@@ -175,7 +175,7 @@
             });
             let news = Rc::new(Quiet(own, SMALL_MESH_INTERVAL));
             let link = Link::new(Rc::new(member), local, news);
-            task::spawn("link", Rc::clone(&link).keep());
+            task::spawn("link", Rc::clone(&link).run());
             while !link.is_open() {
                 sleep(Duration::from_millis(5)).await;
             }
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -3,7 +3,7 @@
 mod accept;
 mod convert;
 mod link;
-mod parts;
+mod reassembly;
 mod source;
 
 use std::cell::RefCell;
@@ -29,7 +29,7 @@
 use crate::life;
 use crate::routing::{Levels, PeerLoad};
 use crate::store::StoreTime;
-use crate::watch::Place;
+use crate::watch::Priority;
 
 /// A node whose row is gone is kept while it can be reached, and this long after.
 const LOST_TIME: Duration = Duration::from_secs(2);
@@ -37,32 +37,32 @@
 const WITNESSES: usize = 2;
 
 /// What a link needs to know of its own node, and whom it tells of the other one.
-pub(crate) trait News {
+pub(crate) trait Delegate {
     /// Returns how often nodes say what they are like.
-    fn interval(&self) -> Duration;
+    fn heartbeat_interval(&self) -> Duration;
 
     /// Returns what a connection begins with.
-    fn hello(&self) -> MemberMessage;
+    fn local_member(&self) -> MemberMessage;
 
     /// Takes in what another node says.
-    fn take(&self, from: &NodeName, presence: &Presence);
+    fn handle_presence(&self, from: &NodeName, presence: &Presence);
 
     /// Returns true if another node is to be asked what the store's clock shows.
     fn wants_store_time(&self) -> bool;
 
     /// Takes in that the store's clock showed at most this at that moment, in an era of the store.
-    fn take_store_time(&self, era: Era, at: Moment, at_most: StoreTime);
+    fn handle_store_time(&self, era: Era, at: Moment, at_most: StoreTime);
 
     /// Takes in what another node knows of requests that may end upstreams.
-    fn take_evidence(&self, evidence: &Evidence);
+    fn handle_evidence(&self, evidence: &Evidence);
 
     /// Takes in that a life of an upstream ended unannounced, with these requests of this node.
-    fn take_lost(&self, upstream: &UpstreamKey, ran: &[Ran]);
+    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Ran]);
 }
 
 /// The links to the nodes of one service.
 #[derive(Clone, Default)]
-pub(crate) struct Placed {
+pub(crate) struct Group {
     /// Those in the own failure domain,
     pub(crate) near: Vec<Rc<Link>>,
     /// and those in the others.
@@ -77,9 +77,9 @@
 pub(crate) struct Peers {
     source: IpAddr,
     domain: DomainName,
-    news: Rc<dyn News>,
+    news: Rc<dyn Delegate>,
     links: RefCell<BTreeMap<NodeName, Rc<Link>>>,
-    by_service: RefCell<BTreeMap<ServiceName, Rc<Placed>>>,
+    by_service: RefCell<BTreeMap<ServiceName, Rc<Group>>>,
 }
 
 impl Service for Peers {
@@ -87,7 +87,7 @@
 }
 
 impl Peers {
-    pub(crate) fn new(source: IpAddr, domain: DomainName, news: Rc<dyn News>) -> Self {
+    pub(crate) fn new(source: IpAddr, domain: DomainName, news: Rc<dyn Delegate>) -> Self {
         Self {
             source,
             domain,
@@ -98,19 +98,19 @@
     }
 
     /// Returns the links to the nodes of a service.
-    pub(crate) fn of_service(&self, service: &ServiceName) -> Option<Rc<Placed>> {
+    pub(crate) fn for_service(&self, service: &ServiceName) -> Option<Rc<Group>> {
         self.by_service.borrow().get(service).cloned()
     }
 
     /// Returns what is kept about the own upstream, which counts among the near ones.
-    pub(crate) fn own_load(&self, service: &ServiceName) -> Rc<RefCell<PeerLoad>> {
+    pub(crate) fn local_load(&self, service: &ServiceName) -> Rc<RefCell<PeerLoad>> {
         let mut by_service = self.by_service.borrow_mut();
         let placed = by_service.entry(service.clone()).or_default();
         Rc::new(RefCell::new(PeerLoad::beside(&placed.near_levels)))
     }
 
     /// Returns the links to nodes whose upstreams this node has sent requests to.
-    pub(crate) fn used(&self) -> Vec<Rc<Link>> {
+    pub(crate) fn with_known_load(&self) -> Vec<Rc<Link>> {
         let links = self.links.borrow();
         let used = links.values().filter(|link| link.load.borrow().is_known());
         used.cloned().collect()
@@ -135,19 +135,19 @@
 
     /// Returns true if more of the nodes that can be reached were started at least `time` before
     /// this life than after.
-    pub(crate) fn are_older(&self, life: Incarnation, time: Duration) -> bool {
+    pub(crate) fn majority_started_before(&self, life: Incarnation, time: Duration) -> bool {
         let links = self.links.borrow();
         let open: Vec<_> = links.values().filter(|link| link.is_open()).collect();
-        let is_older = |link: &&&Rc<Link>| life::time_between(link.life(), life) >= time;
+        let is_older = |link: &&&Rc<Link>| life::time_between(link.incarnation(), life) >= time;
         open.iter().filter(is_older).count() * 2 > open.len()
     }
 
     /// Returns how many nodes of a failure domain follow the store before one in this place.
-    pub(crate) fn watchers_before(&self, place: Place, domain: &DomainName) -> usize {
+    pub(crate) fn watchers_ahead_of(&self, place: Priority, domain: &DomainName) -> usize {
         let links = self.links.borrow();
         let before = links
             .values()
-            .filter(|link| link.member.domain == *domain && link.place() < place);
+            .filter(|link| link.member.domain == *domain && link.priority() < place);
         before.filter(|link| link.can_watch()).count()
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Returns how many failure domains the known nodes stand in.
-    pub(crate) fn domains_beside(&self, own: &DomainName) -> usize {
+    pub(crate) fn other_domain_count(&self, own: &DomainName) -> usize {
         let links = self.links.borrow();
         let domains = links.values().map(|link| &link.member.domain);
         let others: HashSet<_> = domains.filter(|domain| *domain != own).collect();
@@ -177,27 +177,29 @@
     }
 
     /// Returns true if a node is known to run in another life than this.
-    pub(crate) fn is_in_another_life(&self, name: &NodeName, life: Incarnation) -> bool {
+    pub(crate) fn has_other_incarnation(&self, name: &NodeName, life: Incarnation) -> bool {
         let links = self.links.borrow();
         let link = links.get(name).filter(|link| link.is_open());
-        link.is_some_and(|link| link.life() != life)
+        link.is_some_and(|link| link.incarnation() != life)
     }
 
     /// Asks other nodes to remember that an upstream leaves; returns true once enough do.
-    pub(crate) async fn retire(&self, upstream: &UpstreamKey) -> bool {
+    pub(crate) async fn replicate_retirement(&self, upstream: &UpstreamKey) -> bool {
         let links: Vec<Rc<Link>> = self.links.borrow().values().cloned().collect();
         let wanted = WITNESSES.min(links.len()).max(1);
-        let asked = links.iter().map(|link| link.retire(upstream));
+        let asked = links.iter().map(|link| link.replicate_retirement(upstream));
         let asked: FuturesUnordered<_> = asked.collect();
         let remembered = asked.filter(|remembered| std::future::ready(*remembered));
         remembered.take(wanted).count().await == wanted
     }
 
     /// Returns the nodes that could not be reached for at least `time`.
-    pub(crate) fn lost_for(&self, time: Duration) -> Vec<NodeName> {
+    pub(crate) fn unreachable_for(&self, time: Duration) -> Vec<NodeName> {
         let now = Instant::now();
         let links = self.links.borrow();
-        let lost = links.iter().filter(|(_, link)| link.lost_for(now) >= time);
+        let lost = links
+            .iter()
+            .filter(|(_, link)| link.unreachable_for(now) >= time);
         lost.map(|(name, _)| name.clone()).collect()
     }
 
@@ -237,13 +239,13 @@
         links.push(Rc::clone(&link));
         let name = member.name.clone();
         self.links.borrow_mut().insert(name, Rc::clone(&link));
-        task::spawn("peer link", link.keep());
+        task::spawn("peer link", link.run());
     }
 
-    fn is_gone(&self, member: &Member) -> bool {
+    fn should_forget(&self, member: &Member) -> bool {
         let lost = self
             .get(&member.name)
-            .is_none_or(|link| link.lost_for(Instant::now()) > LOST_TIME);
+            .is_none_or(|link| link.unreachable_for(Instant::now()) > LOST_TIME);
         if lost {
             self.drop_link(&member.name);
         }
--- a/crates/mesh/src/peer/parts.rs
+++ b/crates/mesh/src/peer/reassembly.rs
@@ -6,13 +6,13 @@
 const LONGEST: u64 = 64 * 1024 * 1024;
 
 /// A message whose body is not whole yet.
-pub(super) struct Parts<M> {
+pub(super) struct Reassembly<M> {
     pub(super) message: M,
     body: BytesMut,
     length: usize,
 }
 
-impl<M> Parts<M> {
+impl<M> Reassembly<M> {
     /// Starts with the first part of a body; returns nothing if it is too long.
     pub(super) fn new(message: M, first: &Bytes, length: u64) -> Option<Self> {
         if length > LONGEST || first.len() as u64 > length {
--- a/crates/mesh/src/quota/allocation.rs
+++ b/crates/mesh/src/quota/allocation.rs
@@ -22,7 +22,7 @@
 use crate::quota::expiry::Expiry;
 use crate::quota::{Quotas, Term};
 use crate::status::Status;
-use crate::store::{Content, Reading, Store, StoreError, StoreVersion, Table};
+use crate::store::{Content, Lookup, Store, StoreError, StoreVersion, Table};
 use crate::watch::Watch;
 
 /// The key of the row in its table.
@@ -125,7 +125,7 @@
         }
         let missing = self.missing.get().unwrap_or_else(Instant::now);
         self.missing.set(Some(missing));
-        let before = u32::try_from(self.watch.before()).unwrap_or(u32::MAX);
+        let before = u32::try_from(self.watch.ahead_count()).unwrap_or(u32::MAX);
         self.started.elapsed() >= MEETING_TIME
             && missing.elapsed() >= ORDER_PAUSE.saturating_mul(before)
     }
@@ -151,7 +151,7 @@
             is_own
                 || self
                     .peers
-                    .is_in_another_life(&lease.holder, Incarnation(lease.life))
+                    .has_other_incarnation(&lease.holder, Incarnation(lease.life))
         };
         let before = parts.era;
         let Some(lease) = parts.claim(&claim, now, is_gone) else {
@@ -178,14 +178,14 @@
     async fn read(&self) -> Result<(Parts, StoreVersion, Now), RoleError> {
         let asked = clock::now();
         let reading = self.store.row(Table::Quotas, ROW).await;
-        let Reading { row, era, now } = reading.map_err(RoleError::Store)?;
+        let Lookup { row, era, now } = reading.map_err(RoleError::Store)?;
         let told = now.ok_or(RoleError::NoTime)?;
         let answered = clock::now();
-        if !self.quotas.clock.hear(era, answered) {
+        if !self.quotas.clock.observe_era(era, answered) {
             return Err(RoleError::Store(StoreError::HistoryGone));
         }
-        self.quotas.clock.note(asked, answered, told);
-        let at_most = self.quotas.clock.at_most(answered);
+        self.quotas.clock.record(asked, answered, told);
+        let at_most = self.quotas.clock.upper_bound(answered);
         let now = Now {
             at_least_ms: told.millis(),
             at_most_ms: at_most.unwrap_or(told).millis(),
@@ -247,9 +247,9 @@
             life: place.life.0,
             is_new: term.is_none(),
             era: self.quotas.clock.era().0,
-            knows_copy: self.quotas.clock.copied().is_some(),
+            knows_copy: self.quotas.clock.restored_at().is_some(),
             held: self.held(term.as_ref()),
-            domains: self.peers.domains_beside(&place.domain) + 1,
+            domains: self.peers.other_domain_count(&place.domain) + 1,
             demand: rounded(demand),
             limited,
         }
--- a/crates/mesh/src/quota/asker.rs
+++ b/crates/mesh/src/quota/asker.rs
@@ -74,10 +74,10 @@
         // Tokens of another domain count as much, until there is an allocator in the own one.
         let link = self.peers.allocator_of(&quotas.place.domain);
         let link = link.or_else(|| self.peers.any_allocator())?;
-        let answer = timeout(ANSWER_TIME, link.ask_tokens(question)).await;
+        let answer = timeout(ANSWER_TIME, link.request_tokens(question)).await;
         if answer.is_err() {
             // An answer that comes later must not count: what it gives is not asked for any more.
-            link.forget_questions();
+            link.cancel_token_requests();
         }
         answer.ok()?.filter(|answer| !answer.not_allocator)
     }
--- a/crates/mesh/src/quota/expiry.rs
+++ b/crates/mesh/src/quota/expiry.rs
@@ -39,7 +39,7 @@
         if clock.era() != self.era {
             return true;
         }
-        let at_most = clock.at_most(now);
+        let at_most = clock.upper_bound(now);
         let is_ahead = |at_most: StoreTime| at_most.0 + CLOCK_ERROR < self.until.0;
         at_most.is_some_and(is_ahead)
     }
--- a/crates/mesh/src/quota/expiry/tests.rs
+++ b/crates/mesh/src/quota/expiry/tests.rs
@@ -41,8 +41,8 @@
             now = now + Duration::from_millis(10);
         }
         now = answer.answered;
-        clock.note(answer.asked, now, answer.told);
-        let at_most = clock.at_most(now).expect("it was told");
+        clock.record(answer.asked, now, answer.told);
+        let at_most = clock.upper_bound(now).expect("it was told");
         let until = StoreTime(at_most.0 + LEASE);
         known = Some((Expiry::new(&lease(until), answer.asked), until));
     }
@@ -80,8 +80,8 @@
             };
             let clock = Clock::default();
             let began = Moment::since_boot(Duration::from_secs(1));
-            clock.note(began, began, pair.told(began));
-            let until = StoreTime(clock.at_most(began).expect("it was told").0 + LEASE);
+            clock.record(began, began, pair.told(began));
+            let until = StoreTime(clock.upper_bound(began).expect("it was told").0 + LEASE);
             let expiry = Expiry::new(&lease(until), began);
             let looks = (0..500).map(|look| began + Duration::from_millis(10) * look);
             let held = looks.filter(|now| expiry.is_ahead(&clock, *now));
@@ -97,10 +97,10 @@
 fn store_copied() {
     let clock = Clock::default();
     let began = Moment::since_boot(Duration::from_secs(1));
-    clock.note(began, began, StoreTime::from_millis(50_000));
+    clock.record(began, began, StoreTime::from_millis(50_000));
     let expiry = Expiry::new(&lease(StoreTime::from_millis(54_000)), began);
-    clock.hear(Era(2), began);
-    clock.note(began, began, StoreTime::from_millis(500));
+    clock.observe_era(Era(2), began);
+    clock.record(began, began, StoreTime::from_millis(500));
     assert!(expiry.is_ahead(&clock, began + Duration::from_secs(3)));
     assert!(!expiry.is_ahead(&clock, began + LEASE));
 }
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::gate::Upstream;
 use crate::metrics::Metrics;
-use crate::peer::{Link, Peers, Placed};
+use crate::peer::{Group, Link, Peers};
 use crate::work::{Returned, Work};
 
 /// Where a request goes.
@@ -68,7 +68,7 @@
     /// Nodes that failed lately are left out too, unless there is no other one.
     pub(crate) fn choose(&self, work: &Work, tried: &[NodeName]) -> Option<Target> {
         let now = Instant::now();
-        let placed = self.peers.of_service(&work.service).unwrap_or_default();
+        let placed = self.peers.for_service(&work.service).unwrap_or_default();
         let learning = self.learned.of(&work.service);
         let is_own = self.takes(&work.service, tried, now);
         let need = learning.times.borrow().need(&work.kind, work.time_left());
@@ -103,7 +103,7 @@
         tried: &[NodeName],
         identity: &Identity,
     ) -> Option<Target> {
-        let placed = self.peers.of_service(service).unwrap_or_default();
+        let placed = self.peers.for_service(service).unwrap_or_default();
         let links = placed.near.iter().chain(&placed.far);
         let remote = links
             .filter(|link| is_usable(link, tried))
@@ -145,7 +145,7 @@
 }
 
 /// Returns the link in a place, or nothing for the own upstream.
-fn link(placed: &Placed, side: Side, place: usize) -> Option<&Rc<Link>> {
+fn link(placed: &Group, side: Side, place: usize) -> Option<&Rc<Link>> {
     match side {
         Side::Near => placed.near.get(place),
         Side::Far => placed.far.get(place),
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -74,7 +74,7 @@
             serving: self.peers.serving_count(),
             version: self.current.version().0,
             connections: self.entry.connections.get(),
-            watching: usize::from(self.watch.is_ours()),
+            watching: usize::from(self.watch.is_active()),
             foreign_rows: self.directory.foreign_row_count(),
             key_age_ms: age.map_or(0, |age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             quota_term: self.status.quota_term.get(),
@@ -91,7 +91,7 @@
     /// Returns what is known of the upstreams to which this node sent requests.
     fn upstreams(&self) -> Vec<Shown> {
         let now = Instant::now();
-        let used = self.peers.used();
+        let used = self.peers.with_known_load();
         let shown = used.iter().map(|link| {
             let (slowness, pace) = link.load.borrow().shown(now);
             Shown {
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -17,7 +17,7 @@
 use crate::freshness::Freshness;
 use crate::gate::Upstream;
 use crate::retired::Retired;
-use crate::store::{Clock, Reach, StoreTime};
+use crate::store::{Clock, Reachability, StoreTime};
 
 /// The most other nodes of which a node that connects is told. With all of them, a start of 300
 /// nodes at once moved 7 MB to and from each; some of each node that one meets make all known.
@@ -32,7 +32,7 @@
     pub(crate) admission: Rc<Admission>,
     pub(crate) current: Rc<Current>,
     pub(crate) retired: Rc<Retired>,
-    pub(crate) reach: Rc<Reach>,
+    pub(crate) reach: Rc<Reachability>,
     pub(crate) freshness: Rc<Freshness>,
     pub(crate) clock: Rc<Clock>,
     /// The term of this node as the allocator of its failure domain's tokens; zero if it is not.
@@ -70,7 +70,7 @@
             upstream: upstream.map_or_else(String::new, |key| key.to_string()),
             retired: Vec::new(),
             known: Vec::new(),
-            store_lost: self.reach.is_lost(),
+            store_lost: self.reach.is_unreachable(),
             config_as_of_ms: self.freshness.as_of().map_or(0, StoreTime::millis),
             quota_term: self.quota_term.get(),
             store_era: self.clock.era().0,
--- a/crates/mesh/src/store/clock.rs
+++ b/crates/mesh/src/store/clock.rs
@@ -119,7 +119,7 @@
     /// Takes in that the store, or another node, told an era; returns false if that is over.
     ///
     /// Readings of the era before say nothing of the clock in this one, which may have gone back.
-    pub(crate) fn hear(&self, era: Era, now: Moment) -> bool {
+    pub(crate) fn observe_era(&self, era: Era, now: Moment) -> bool {
         let known = self.era.get();
         if era <= known {
             return era == known;
@@ -140,7 +140,7 @@
     }
 
     /// Calls `copied` whenever the store came back from a copy.
-    pub(crate) fn listen(&self, copied: impl Fn() + 'static) {
+    pub(crate) fn on_restore(&self, copied: impl Fn() + 'static) {
         self.listeners.borrow_mut().push(Box::new(copied));
     }
 
@@ -150,12 +150,12 @@
     }
 
     /// Returns when this node heard of the first era.
-    pub(crate) fn met(&self) -> Option<Moment> {
+    pub(crate) fn first_era_seen_at(&self) -> Option<Moment> {
         self.met.get()
     }
 
     /// Returns when this node heard last that the store came back from a copy.
-    pub(crate) fn copied(&self) -> Option<Moment> {
+    pub(crate) fn restored_at(&self) -> Option<Moment> {
         self.copied.get()
     }
 }
@@ -165,7 +165,7 @@
     /// Takes in that the store told this time, asked and answered at these moments.
     ///
     /// Its clock showed at most that when it was asked, and at least that when it had answered.
-    pub(crate) fn note(&self, asked: Moment, answered: Moment, told: StoreTime) {
+    pub(crate) fn record(&self, asked: Moment, answered: Moment, told: StoreTime) {
         let mut readings = self.readings.borrow_mut();
         readings.retain(|reading| reading.at_most(answered) >= told);
         drop(readings);
@@ -182,7 +182,7 @@
     }
 
     /// Takes in from another node that the store's clock showed at most this at that moment.
-    pub(crate) fn note_at_most(&self, at: Moment, at_most: StoreTime) {
+    pub(crate) fn record_peer_bound(&self, at: Moment, at_most: StoreTime) {
         self.take(Reading {
             at,
             at_most,
@@ -194,7 +194,7 @@
     ///
     /// A bound that it contradicts is raised, and replaced by the next reading. By more than a jump
     /// it is not raised: nothing tells how long the message was under way.
-    pub(crate) fn note_shown(&self, now: Moment, shown: StoreTime) {
+    pub(crate) fn record_observed_time(&self, now: Moment, shown: StoreTime) {
         let highest = StoreTime(shown.0 + RESOLUTION);
         for reading in self.readings.borrow_mut().iter_mut() {
             let at_most = reading.at_most(now);
@@ -217,7 +217,7 @@
     }
 
     /// Returns true if another node is to be asked what the store's clock shows.
-    pub(crate) fn is_old(&self, now: Moment) -> bool {
+    pub(crate) fn is_stale(&self, now: Moment) -> bool {
         let readings = self.readings.borrow();
         let is_sound = |reading: &Reading| reading.source != Source::Doubtful;
         !readings
@@ -226,14 +226,14 @@
     }
 
     /// Returns true if a node that reaches the store is to read its clock again, at once.
-    pub(crate) fn is_due(&self, now: Moment) -> bool {
+    pub(crate) fn needs_refresh(&self, now: Moment) -> bool {
         let readings = self.readings.borrow();
         let mut own = readings.iter().filter(|one| one.source == Source::Store);
         own.all(|reading| now.since(reading.at) >= DUE)
     }
 
     /// Returns what the store's clock shows at most.
-    pub(crate) fn at_most(&self, now: Moment) -> Option<StoreTime> {
+    pub(crate) fn upper_bound(&self, now: Moment) -> Option<StoreTime> {
         let readings = self.readings.borrow();
         let fresh = readings.iter().filter(|reading| reading.is_fresh(now));
         let closest = fresh.map(|reading| reading.at_most(now)).min();
@@ -243,7 +243,7 @@
 
     /// Returns what other nodes are told of it: only what the store itself said lately, so that no
     /// reading goes round among the nodes.
-    pub(crate) fn told_at_most(&self, now: Moment) -> Option<StoreTime> {
+    pub(crate) fn published_bound(&self, now: Moment) -> Option<StoreTime> {
         let readings = self.readings.borrow();
         let is_own = |one: &&Reading| matches!(one.source, Source::Store | Source::LateStore);
         let own = readings.iter().filter(is_own);
@@ -253,8 +253,8 @@
 
     /// Returns the least time that has passed since the store's clock showed `then`; what cannot
     /// be told, or lies ahead by more than a jump, is nothing.
-    pub(crate) fn age_at_most(&self, then: StoreTime, now: Moment) -> Option<Duration> {
-        let at_most = self.at_most(now)?.0;
+    pub(crate) fn max_age(&self, then: StoreTime, now: Moment) -> Option<Duration> {
+        let at_most = self.upper_bound(now)?.0;
         let is_known = at_most + JUMP + RESOLUTION >= then.0;
         is_known.then(|| at_most.saturating_sub(then.0))
     }
--- a/crates/mesh/src/store/clock/tests.rs
+++ b/crates/mesh/src/store/clock/tests.rs
@@ -14,11 +14,11 @@
 }
 
 fn note(clock: &Clock, asked: u64, answered: u64, told: u64) {
-    clock.note(at(asked), at(answered), StoreTime::from_millis(told));
+    clock.record(at(asked), at(answered), StoreTime::from_millis(told));
 }
 
 fn age(clock: &Clock, then: u64, now: u64) -> Option<u64> {
-    let age = clock.age_at_most(StoreTime::from_millis(then), at(now))?;
+    let age = clock.max_age(StoreTime::from_millis(then), at(now))?;
     u64::try_from(age.as_millis()).ok()
 }
 
--- a/crates/mesh/src/store/clock/tests/apart.rs
+++ b/crates/mesh/src/store/clock/tests/apart.rs
@@ -24,7 +24,7 @@
     while now.since(Moment::default()) < TIME {
         let answer = calls.ask(&clock, now);
         while now < answer.answered {
-            if let Some(at_most) = clock.at_most(now) {
+            if let Some(at_most) = clock.upper_bound(now) {
                 let shown = pair.shown(now).0;
                 low = low.max(shown.saturating_sub(at_most.0));
                 if at_most.0 > shown + CLOSE {
@@ -34,9 +34,9 @@
             now = now + LOOK;
         }
         now = answer.answered;
-        clock.note(answer.asked, answer.answered, answer.told);
+        clock.record(answer.asked, answer.answered, answer.told);
         assert!(
-            clock.at_most(now) >= Some(answer.told),
+            clock.upper_bound(now) >= Some(answer.told),
             "{pair:?}: it shows at least what it told"
         );
     }
@@ -89,35 +89,35 @@
 #[test]
 fn shown_to_peer() {
     let clock = Clock::default();
-    clock.note_at_most(at(1000), told(50_000));
-    clock.note_shown(at(2000), told(51_040));
-    assert!(clock.at_most(at(2000)) >= Some(told(51_040)));
-    assert!(clock.is_old(at(2000)));
-    clock.note_at_most(at(2000), told(51_060));
-    assert_eq!(clock.at_most(at(2000)), Some(told(51_060)));
-    assert!(!clock.is_old(at(2000)));
+    clock.record_peer_bound(at(1000), told(50_000));
+    clock.record_observed_time(at(2000), told(51_040));
+    assert!(clock.upper_bound(at(2000)) >= Some(told(51_040)));
+    assert!(clock.is_stale(at(2000)));
+    clock.record_peer_bound(at(2000), told(51_060));
+    assert_eq!(clock.upper_bound(at(2000)), Some(told(51_060)));
+    assert!(!clock.is_stale(at(2000)));
 }
 
 /// What lies far ahead is not believed, but asked for.
 #[test]
 fn far_ahead() {
     let clock = Clock::default();
-    clock.note_at_most(at(1000), told(50_000));
-    clock.note_shown(at(1000), told(90_000));
-    assert_eq!(clock.at_most(at(1000)), Some(told(50_000)));
-    assert!(clock.is_old(at(1000)));
-    clock.note_at_most(at(1000), told(90_010));
-    assert_eq!(clock.at_most(at(1000)), Some(told(90_010)));
+    clock.record_peer_bound(at(1000), told(50_000));
+    clock.record_observed_time(at(1000), told(90_000));
+    assert_eq!(clock.upper_bound(at(1000)), Some(told(50_000)));
+    assert!(clock.is_stale(at(1000)));
+    clock.record_peer_bound(at(1000), told(90_010));
+    assert_eq!(clock.upper_bound(at(1000)), Some(told(90_010)));
 }
 
 /// Only what the store said lately is told: a reading would go round else, and never be replaced.
 #[test]
 fn own_is_told() {
     let clock = Clock::default();
-    clock.note_at_most(at(1000), told(50_000));
-    assert_eq!(clock.told_at_most(at(1000)), None);
-    clock.note(at(2000), at(2000), told(50_900));
-    assert_eq!(clock.told_at_most(at(2000)), Some(told(50_920)));
-    assert_eq!(clock.told_at_most(at(12_000)), None);
-    assert!(clock.at_most(at(12_000)).is_some());
+    clock.record_peer_bound(at(1000), told(50_000));
+    assert_eq!(clock.published_bound(at(1000)), None);
+    clock.record(at(2000), at(2000), told(50_900));
+    assert_eq!(clock.published_bound(at(2000)), Some(told(50_920)));
+    assert_eq!(clock.published_bound(at(12_000)), None);
+    assert!(clock.upper_bound(at(12_000)).is_some());
 }
--- a/crates/mesh/src/store/clock/tests/pair.rs
+++ b/crates/mesh/src/store/clock/tests/pair.rs
@@ -89,8 +89,8 @@
     /// Asks at a moment; the store answers after a while, or at once the first time and if the clock
     /// is due.
     pub(crate) fn ask(&mut self, clock: &Clock, asked: Moment) -> Answer {
-        let is_first = clock.at_most(asked).is_none();
-        self.was_quick = is_first || !self.was_quick && clock.is_due(asked);
+        let is_first = clock.upper_bound(asked).is_none();
+        self.was_quick = is_first || !self.was_quick && clock.needs_refresh(asked);
         let wait = if self.was_quick {
             Duration::ZERO
         } else {
--- a/crates/mesh/src/store/mirror.rs
+++ b/crates/mesh/src/store/feed.rs
@@ -15,7 +15,7 @@
 use crate::store::{Row, Store, StoreError, StoreTime, StoreVersion, Table};
 
 /// How long one call waits for changes; the store allows 30 s, and every call has its price.
-pub(crate) const WAIT: Duration = Duration::from_secs(29);
+pub(crate) const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(29);
 /// The first pause after a failed call.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
 /// The longest pause after failed calls: entries are to be back two seconds after the store is.
@@ -29,34 +29,34 @@
 
 /// How long changes are gathered before the next ones are asked for.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Pace {
+pub(crate) struct Debounce {
     /// After the whole table was read,
-    pub(crate) whole: Duration,
+    pub(crate) after_snapshot: Duration,
     /// and after changes.
-    pub(crate) changes: Duration,
+    pub(crate) after_changes: Duration,
 }
 
 /// What is told about the table that is followed.
 pub(crate) trait Follower {
     /// Returns true while changes are to be asked for. The whole table is read in any case.
-    fn is_due(&self) -> bool;
+    fn wants_changes(&self) -> bool;
 
     /// Returns how long changes are gathered before the next ones are asked for, after a whole
     /// table and after changes.
     ///
     /// A mass start changes a row for each node; without a pause each change is a call of each
     /// node: 14 calls a node in a start of 70 nodes.
-    fn pace(&self) -> Pace {
-        Pace::default()
+    fn debounce(&self) -> Debounce {
+        Debounce::default()
     }
 
     /// Returns how long one call waits for changes.
-    fn wait(&self) -> Duration {
-        WAIT
+    fn poll_timeout(&self) -> Duration {
+        LONG_POLL_TIMEOUT
     }
 
     /// The store answered in this era; returns false if that is over.
-    fn hear(&self, era: Era) -> bool;
+    fn observe_era(&self, era: Era) -> bool;
 
     /// Returns the latest era that was heard of.
     fn era(&self) -> Era;
@@ -68,28 +68,28 @@
     fn reset(&self, rows: &[Row]);
 
     /// Rows that changed since.
-    fn change(&self, rows: &[Row]);
+    fn apply_changes(&self, rows: &[Row]);
 }
 
 /// Whether the store answers, as seen by the calls that follow it.
 #[derive(Default)]
-pub(crate) struct Reach {
+pub(crate) struct Reachability {
     lost: Cell<bool>,
     changed: RefCell<Vec<Box<dyn Fn()>>>,
 }
 
-impl Service for Reach {
+impl Service for Reachability {
     const NAME: &'static str = "store-reach";
 }
 
-impl Reach {
+impl Reachability {
     /// Returns true after a call that failed, until one is answered.
-    pub(crate) fn is_lost(&self) -> bool {
+    pub(crate) fn is_unreachable(&self) -> bool {
         self.lost.get()
     }
 
     /// Calls `changed` whenever the store is lost or found.
-    pub(crate) fn listen(&self, changed: impl Fn() + 'static) {
+    pub(crate) fn on_change(&self, changed: impl Fn() + 'static) {
         self.changed.borrow_mut().push(Box::new(changed));
     }
 
@@ -109,7 +109,7 @@
 pub(crate) async fn follow(
     store: Rc<dyn Store>,
     table: Table,
-    reach: Rc<Reach>,
+    reach: Rc<Reachability>,
     follower: Rc<dyn Follower>,
 ) {
     let mut pause = FIRST_PAUSE;
@@ -123,7 +123,7 @@
         let wait = if was_lost {
             Duration::ZERO
         } else {
-            follower.wait()
+            follower.poll_timeout()
         };
         let result = advance(&*store, table, (at, wait), &*follower).await;
         let error = result.as_ref().err();
@@ -132,11 +132,11 @@
         reach.note(error.filter(|error| **error != StoreError::HistoryGone));
         match result {
             Ok(version) => {
-                let pace = follower.pace();
+                let pace = follower.debounce();
                 let gathering = if at.is_none() {
-                    pace.whole
+                    pace.after_snapshot
                 } else {
-                    pace.changes
+                    pace.after_changes
                 };
                 at = Some(version);
                 pause = FIRST_PAUSE;
@@ -155,7 +155,7 @@
 /// table is to be read instead.
 async fn wait_until_due(follower: &dyn Follower) -> bool {
     let began = Instant::now();
-    while !follower.is_due() {
+    while !follower.wants_changes() {
         if began.elapsed() >= RESYNC {
             return false;
         }
@@ -185,15 +185,15 @@
     };
     let is_other_era = at.is_some_and(|at| at.era != told.version.era);
     // Numbers are given out again after a copy, so what changed since one does not tell the rest.
-    if !follower.hear(told.version.era) || is_other_era {
+    if !follower.observe_era(told.version.era) || is_other_era {
         return Err(StoreError::HistoryGone);
     }
     match at {
         None => follower.reset(&told.rows),
         Some(_) if told.rows.is_empty() => {}
-        Some(_) => follower.change(&told.rows),
+        Some(_) => follower.apply_changes(&told.rows),
     }
-    if let Some(as_of) = told.now.filter(|_| told.is_whole) {
+    if let Some(as_of) = told.now.filter(|_| told.is_complete) {
         follower.confirm(asked, as_of);
     }
     Ok(told.version.max(at.unwrap_or_default()))
--- a/crates/mesh/src/store/mod.rs
+++ b/crates/mesh/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! The store in which everything lives that must outlast a node.
 
 pub(crate) mod clock;
-mod mirror;
+mod feed;
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 pub use clock::StoreTime;
 pub(crate) use clock::{Clock, DRIFT as CLOCK_DRIFT, ERROR as CLOCK_ERROR};
-pub(crate) use mirror::{Follower, Pace, Reach, WAIT, follow};
+pub(crate) use feed::{Debounce, Follower, LONG_POLL_TIMEOUT, Reachability, follow};
 
 /// The tables that the mesh uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -69,12 +69,12 @@
     /// What the clock of the store showed then, if it tells that.
     pub now: Option<StoreTime>,
     /// Whether these are all rows that were asked for.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// One row as of one moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reading {
+pub struct Lookup {
     /// The row, if it is there.
     pub row: Option<Row>,
     /// The era of the store.
@@ -111,7 +111,7 @@
     fn rows(&self, table: Table) -> Operation<'_, Rows>;
 
     /// Returns one row of a table.
-    fn row<'a>(&'a self, table: Table, key: &'a str) -> Operation<'a, Reading>;
+    fn row<'a>(&'a self, table: Table, key: &'a str) -> Operation<'a, Lookup>;
 
     /// Returns the rows that changed after a version, as soon as there is one or `wait` is over.
     fn changes(&self, table: Table, after: StoreVersion, wait: Duration) -> Operation<'_, Rows>;
--- a/crates/mesh/src/wake/tests.rs
+++ b/crates/mesh/src/wake/tests.rs
@@ -12,32 +12,32 @@
 use crate::clock::suspend;
 use crate::clock::tests::SUSPENSIONS;
 use crate::key::UpstreamKey;
-use crate::peer::{News, Peers};
+use crate::peer::{Delegate, Peers};
 use crate::store::StoreTime;
 use crate::wake::{NEWS_TIME, Wake};
 
 struct Quiet;
 
-impl News for Quiet {
-    fn interval(&self) -> Duration {
+impl Delegate for Quiet {
+    fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(300)
     }
 
-    fn hello(&self) -> MemberMessage {
+    fn local_member(&self) -> MemberMessage {
         MemberMessage::default()
     }
 
-    fn take(&self, _from: &NodeName, _presence: &Presence) {}
+    fn handle_presence(&self, _from: &NodeName, _presence: &Presence) {}
 
     fn wants_store_time(&self) -> bool {
         false
     }
 
-    fn take_store_time(&self, _: Era, _: Moment, _: StoreTime) {}
+    fn handle_store_time(&self, _: Era, _: Moment, _: StoreTime) {}
 
-    fn take_evidence(&self, _evidence: &Evidence) {}
+    fn handle_evidence(&self, _evidence: &Evidence) {}
 
-    fn take_lost(&self, _upstream: &UpstreamKey, _ran: &[Ran]) {}
+    fn handle_crash(&self, _upstream: &UpstreamKey, _ran: &[Ran]) {}
 }
 
 fn wake() -> Wake {
--- a/crates/mesh/src/watch.rs
+++ b/crates/mesh/src/watch.rs
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::peer::Peers;
-use crate::store::Reach;
+use crate::store::Reachability;
 
 /// How many nodes of each failure domain follow the store: if the store turns away a third of the
 /// nodes without a word, one of three is served in 26 of 27 cases, and the other failure domains
@@ -24,9 +24,9 @@
 
 /// The place of a node in the order in which nodes follow; the smallest come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place(u64);
+pub(crate) struct Priority(u64);
 
-impl Place {
+impl Priority {
     /// Returns the place of a node; nodes of one failure domain rarely share one.
     pub(crate) fn of(name: &NodeName) -> Self {
         Self(xxh3_64(name.as_str().as_bytes()))
@@ -35,10 +35,10 @@
 
 /// Whether this node follows the store.
 pub(crate) struct Watch {
-    place: Place,
+    place: Priority,
     domain: DomainName,
     peers: Rc<Peers>,
-    reach: Rc<Reach>,
+    reach: Rc<Reachability>,
 }
 
 impl Service for Watch {
@@ -50,10 +50,10 @@
         name: &NodeName,
         domain: DomainName,
         peers: Rc<Peers>,
-        reach: Rc<Reach>,
+        reach: Rc<Reachability>,
     ) -> Self {
         Self {
-            place: Place::of(name),
+            place: Priority::of(name),
             domain,
             peers,
             reach,
@@ -61,14 +61,14 @@
     }
 
     /// Returns how many nodes of the failure domain stand before this one and reach the store.
-    pub(crate) fn before(&self) -> usize {
-        self.peers.watchers_before(self.place, &self.domain)
+    pub(crate) fn ahead_count(&self) -> usize {
+        self.peers.watchers_ahead_of(self.place, &self.domain)
     }
 
     /// Returns true while this node follows the store.
     ///
     /// One that has lost it goes on asking, and the others do not count on it meanwhile.
-    pub(crate) fn is_ours(&self) -> bool {
-        self.reach.is_lost() || self.before() < WATCHERS
+    pub(crate) fn is_active(&self) -> bool {
+        self.reach.is_unreachable() || self.ahead_count() < WATCHERS
     }
 }
