--- a/crates/mesh/src/freshness/tests.rs
+++ b/crates/mesh/src/freshness/tests.rs
@@ -117,7 +117,7 @@
     let mut is_served = true;
     let mut is_known = false;
     while now < at(80_000) {
-        let answer = calls.ask(&follower.clock, now);
+        let answer = calls.call(&follower.clock, now);
         while now < answer.answered {
             for node in [&follower, &peer].into_iter().filter(|_| is_known) {
                 let as_of = node.as_of().expect("it was told");
@@ -130,14 +130,16 @@
             now = now + Duration::from_millis(10);
         }
         now = answer.answered;
-        follower.clock.record(answer.asked, now, answer.told);
-        follower.confirm(version, answer.told, version, now);
-        peer.confirm(version, answer.told, version, now);
+        follower
+            .clock
+            .record(answer.requested, now, answer.reported);
+        follower.confirm(version, answer.reported, version, now);
+        peer.confirm(version, answer.reported, version, now);
         if peer.clock.is_stale(now)
             && let Some(at_most) = follower.clock.published_bound(now)
         {
             peer.clock.record_peer_bound(now, at_most);
-            peer.confirm(version, answer.told, version, now);
+            peer.confirm(version, answer.reported, version, now);
         }
         is_known = true;
     }
--- a/crates/mesh/src/quota/expiry/tests.rs
+++ b/crates/mesh/src/quota/expiry/tests.rs
@@ -29,7 +29,7 @@
     let mut too_long = Duration::ZERO;
     let (mut held, mut looks) = (0.0, 0.0);
     while now.since(Moment::default()) < Duration::from_secs(80) {
-        let answer = calls.ask(&clock, now);
+        let answer = calls.call(&clock, now);
         while now < answer.answered {
             looks += 1.0;
             if let Some((expiry, until)) = known
@@ -41,10 +41,10 @@
             now = now + Duration::from_millis(10);
         }
         now = answer.answered;
-        clock.record(answer.asked, now, answer.told);
+        clock.record(answer.requested, now, answer.reported);
         let at_most = clock.upper_bound(now).expect("it was told");
         let until = StoreTime(at_most.0 + LEASE);
-        known = Some((Expiry::new(&lease(until), answer.asked), until));
+        known = Some((Expiry::new(&lease(until), answer.requested), until));
     }
     (too_long, held / looks)
 }
@@ -80,7 +80,7 @@
             };
             let clock = Clock::default();
             let began = Moment::since_boot(Duration::from_secs(1));
-            clock.record(began, began, pair.told(began));
+            clock.record(began, began, pair.reported(began));
             let until = StoreTime(clock.upper_bound(began).expect("it was told").0 + LEASE);
             let expiry = Expiry::new(&lease(until), began);
             let looks = (0..500).map(|look| began + Duration::from_millis(10) * look);
--- a/crates/mesh/src/store/clock/tests/apart.rs
+++ b/crates/mesh/src/store/clock/tests/apart.rs
@@ -22,7 +22,7 @@
     let mut low = Duration::ZERO;
     let mut loose = Duration::ZERO;
     while now.since(Moment::default()) < TIME {
-        let answer = calls.ask(&clock, now);
+        let answer = calls.call(&clock, now);
         while now < answer.answered {
             if let Some(at_most) = clock.upper_bound(now) {
                 let shown = pair.shown(now).0;
@@ -34,9 +34,9 @@
             now = now + LOOK;
         }
         now = answer.answered;
-        clock.record(answer.asked, answer.answered, answer.told);
+        clock.record(answer.requested, answer.answered, answer.reported);
         assert!(
-            clock.upper_bound(now) >= Some(answer.told),
+            clock.upper_bound(now) >= Some(answer.reported),
             "{pair:?}: it shows at least what it told"
         );
     }
--- a/crates/mesh/src/store/clock/tests/pair.rs
+++ b/crates/mesh/src/store/clock/tests/pair.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns what the store tells at a moment, in hundredths of a second.
-    pub(crate) fn told(&self, at: Moment) -> StoreTime {
+    pub(crate) fn reported(&self, at: Moment) -> StoreTime {
         let shown = self.shown(at).0.as_secs_f64();
         StoreTime(Duration::from_secs_f64((shown * 100.0).round() / 100.0))
     }
@@ -63,10 +63,10 @@
 
 /// An answer of the store.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Answer {
-    pub(crate) asked: Moment,
+pub(crate) struct Response {
+    pub(crate) requested: Moment,
     pub(crate) answered: Moment,
-    pub(crate) told: StoreTime,
+    pub(crate) reported: StoreTime,
 }
 
 /// Asks the store over and over.
@@ -88,7 +88,7 @@
 
     /// Asks at a moment; the store answers after a while, or at once the first time and if the clock
     /// is due.
-    pub(crate) fn ask(&mut self, clock: &Clock, asked: Moment) -> Answer {
+    pub(crate) fn call(&mut self, clock: &Clock, asked: Moment) -> Response {
         let is_first = clock.upper_bound(asked).is_none();
         self.was_quick = is_first || !self.was_quick && clock.needs_refresh(asked);
         let wait = if self.was_quick {
@@ -98,10 +98,10 @@
         };
         let mut delay = || Duration::from_secs_f64(self.random.random_range(0.0..self.pair.delay));
         let told_at = asked + delay() + wait;
-        Answer {
-            asked,
+        Response {
+            requested: asked,
             answered: told_at + delay(),
-            told: self.pair.told(told_at),
+            reported: self.pair.reported(told_at),
         }
     }
 }
