--- a/crates/mesh/src/store/clock.rs
+++ b/crates/mesh/src/store/clock.rs
@@ -1,14 +1,15 @@
-//! The clock of the store, as far as this node can tell it.
+//! An estimate of the store's clock.
 //!
-//! The store says its time with each answer. All nodes share it, so what one
-//! of them knows to have held at some time of the store any other one can
-//! place on its own clock, however late it hears of it.
+//! Every response of the store carries its time. All nodes share this clock,
+//! so a fact that is known to have held at some store time can be dated by
+//! any node on its own clock, no matter how late it arrives.
 //!
-//! What counts is what the store's clock shows at most: with too low a bound,
-//! keys that were taken away run on and leases outlive. A bound is wrong once
-//! the store shows more, and gives way. Until that is seen it is too low by
-//! as much as the two clocks jumped apart since it was read, and a reading is
-//! used for a bounded time only, so older jumps do not add up.
+//! The estimate is an upper bound of what the store's clock shows. If the
+//! bound were too low, revoked keys would stay valid and leases would be used
+//! past their end. A reading that the store contradicts by showing a later
+//! time is discarded. Until then the bound is too low by as much as the two
+//! clocks jumped apart since the reading. Readings are used for a limited
+//! time only, so the errors of several jumps do not accumulate.
 
 #[cfg(test)]
 pub(crate) mod tests;
@@ -20,37 +21,38 @@
 use sailtrack_log::{catalogue, emit};
 use sailtrack_units::{Era, Moment};
 
-/// What the store's clock may be off by in an answer: it is told in hundredths of a second.
+/// Maximum error of a time reported by the store, which reports hundredths of a second.
 const RESOLUTION: Duration = Duration::from_millis(20);
-/// How far the two clocks may drift apart, in parts of the time passed: 5,000 in a million, as a
-/// virtual machine that catches up on lost time does, and some room.
-pub(crate) const DRIFT: f64 = 6e-3;
-/// How far the two clocks may jump apart at once.
-const JUMP: Duration = Duration::from_millis(50);
+/// Assumed maximum drift between the two clocks, as a fraction of the elapsed time: 5,000 ppm,
+/// which a virtual machine reaches while it catches up on lost time, plus a margin.
+pub(crate) const MAX_DRIFT: f64 = 6e-3;
+/// Assumed maximum size of a single clock jump.
+const MAX_JUMP: Duration = Duration::from_millis(50);
 
-/// How much too low the bound may be: by one jump within twice [`OLD`], the longest time for which
-/// a reading is used, first by the node that asked the store and then by one that it told.
-pub(crate) const ERROR: Duration = JUMP;
+/// Maximum amount by which the bound may be too low. It covers one jump within twice
+/// [`MAX_READING_AGE`]: a reading is used that long by the node that took it, and as long again by
+/// a peer that received it.
+pub(crate) const MAX_ERROR: Duration = MAX_JUMP;
 
-/// How long a reading is used if there is another one.
-const OLD: Duration = Duration::from_secs(10);
-/// A node that follows the store reads its clock again after this time.
-const DUE: Duration = Duration::from_secs(5);
-/// What took longer from question to answer tells too little of what the clock shows by then.
-const QUICK: Duration = Duration::from_millis(500);
+/// Age at which a reading is no longer used if a younger one exists.
+const MAX_READING_AGE: Duration = Duration::from_secs(10);
+/// Age of the last immediate reading after which a node that watches the store reads again.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
+/// Longest round trip of a call that still gives a close bound.
+const MAX_ROUND_TRIP: Duration = Duration::from_millis(500);
 
-/// A time of the store's clock.
+/// A time as shown by the store's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct StoreTime(pub Duration);
 
 impl StoreTime {
-    /// Returns the time with so many milliseconds.
+    /// Creates a store time from milliseconds.
     #[must_use]
     pub fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
 
-    /// Returns it in whole milliseconds.
+    /// Returns the time in whole milliseconds.
     #[must_use]
     pub fn millis(self) -> u64 {
         u64::try_from(self.0.as_millis()).unwrap_or(u64::MAX)
@@ -60,65 +62,65 @@
 /// Where a reading comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// An answer of the store at once.
+    /// An immediate response of the store.
     Store,
-    /// An answer of the store after a while.
-    LateStore,
-    /// Another node, which asked the store.
+    /// A response of the store to a slow call or a long poll.
+    SlowStore,
+    /// A peer that read the store's clock.
     Peer,
-    /// A reading that something later contradicts; any other one replaces it.
-    Doubtful,
+    /// A reading that later information contradicts; any other reading replaces it.
+    Contradicted,
 }
 
-/// One reading: at this own moment the store's clock showed at most this.
+/// One reading: at the local time `at` the store's clock showed no more than `bound`.
 #[derive(Debug, Clone, Copy)]
 struct Reading {
     at: Moment,
-    at_most: StoreTime,
+    bound: StoreTime,
     source: Source,
 }
 
 impl Reading {
-    /// Returns what the store's clock shows at most at a later moment.
-    fn at_most(&self, now: Moment) -> StoreTime {
+    /// Returns an upper bound of the store's clock at a later local time.
+    fn upper_bound(&self, now: Moment) -> StoreTime {
         let passed = now.since(self.at);
-        StoreTime(self.at_most.0 + passed + passed.mul_f64(DRIFT))
+        StoreTime(self.bound.0 + passed + passed.mul_f64(MAX_DRIFT))
     }
 
     fn is_fresh(&self, now: Moment) -> bool {
-        now.since(self.at) < OLD
+        now.since(self.at) < MAX_READING_AGE
     }
 
-    /// Returns true if it is of no use beside another one, which is later and as close.
-    fn is_needless_beside(&self, other: &Self) -> bool {
-        self.source == Source::Doubtful
-            || other.at >= self.at && other.at_most <= self.at_most(other.at)
+    /// Returns true if `other` is at least as recent and its bound at least as close.
+    fn is_superseded_by(&self, other: &Self) -> bool {
+        self.source == Source::Contradicted
+            || other.at >= self.at && other.bound <= self.upper_bound(other.at)
     }
 }
 
-/// What this node knows of the clock of the store.
+/// Estimates the store's clock and tracks the store's era.
 ///
-/// Of the readings it keeps those that are the closest now or once closer ones are old.
+/// It keeps each reading that gives the closest bound now, or will once closer readings expire.
 #[derive(Default)]
 pub(crate) struct Clock {
     era: Cell<Era>,
-    /// When this node heard of the first era,
-    met: Cell<Option<Moment>>,
-    /// and last that the store came back from a copy.
-    copied: Cell<Option<Moment>>,
+    /// When this node first learned an era.
+    first_era_seen_at: Cell<Option<Moment>>,
+    /// When this node last learned that the store was restored from a backup.
+    restored_at: Cell<Option<Moment>>,
     readings: RefCell<Vec<Reading>>,
-    listeners: RefCell<Vec<Box<dyn Fn()>>>,
+    restore_callbacks: RefCell<Vec<Box<dyn Fn()>>>,
 }
 
 impl Service for Clock {
     const NAME: &'static str = "store-clock";
 }
 
-/// The eras of the store.
+/// Eras: the store begins a new one whenever it is restored from a backup.
 impl Clock {
-    /// Takes in that the store, or another node, told an era; returns false if that is over.
+    /// Records an era reported by the store or a peer; returns false if a later era is known.
     ///
-    /// Readings of the era before say nothing of the clock in this one, which may have gone back.
+    /// A new era discards all readings, since the store's clock may have gone back.
     pub(crate) fn observe_era(&self, era: Era, now: Moment) -> bool {
         let known = self.era.get();
         if era <= known {
@@ -128,134 +130,142 @@
         self.era.set(era);
         self.readings.borrow_mut().clear();
         if is_first {
-            self.met.set(Some(now));
+            self.first_era_seen_at.set(Some(now));
         } else {
-            self.copied.set(Some(now));
+            self.restored_at.set(Some(now));
             emit(&catalogue::STORE_COPIED, &[("era", &era)]);
-            for copied in self.listeners.borrow().iter() {
-                copied();
+            for callback in self.restore_callbacks.borrow().iter() {
+                callback();
             }
         }
         true
     }
 
-    /// Calls `copied` whenever the store came back from a copy.
-    pub(crate) fn on_restore(&self, copied: impl Fn() + 'static) {
-        self.listeners.borrow_mut().push(Box::new(copied));
+    /// Registers a callback that runs whenever the store was restored from a backup.
+    pub(crate) fn on_restore(&self, callback: impl Fn() + 'static) {
+        self.restore_callbacks.borrow_mut().push(Box::new(callback));
     }
 
-    /// Returns the latest era that was heard of; zero if the store tells none.
+    /// Returns the latest known era; zero if the store reports none.
     pub(crate) fn era(&self) -> Era {
         self.era.get()
     }
 
-    /// Returns when this node heard of the first era.
+    /// Returns when this node first learned an era.
     pub(crate) fn first_era_seen_at(&self) -> Option<Moment> {
-        self.met.get()
+        self.first_era_seen_at.get()
     }
 
-    /// Returns when this node heard last that the store came back from a copy.
+    /// Returns when this node last learned that the store was restored from a backup.
     pub(crate) fn restored_at(&self) -> Option<Moment> {
-        self.copied.get()
+        self.restored_at.get()
     }
 }
 
-/// The readings of the present era.
+/// Readings of the current era.
 impl Clock {
-    /// Takes in that the store told this time, asked and answered at these moments.
+    /// Records a time reported by the store in response to a call, with the local times of the
+    /// request and the response.
     ///
-    /// Its clock showed at most that when it was asked, and at least that when it had answered.
-    pub(crate) fn record(&self, asked: Moment, answered: Moment, told: StoreTime) {
+    /// The store's clock showed at most `reported` when the request was sent, and at least
+    /// `reported` when the response arrived.
+    pub(crate) fn record(&self, requested: Moment, answered: Moment, reported: StoreTime) {
         let mut readings = self.readings.borrow_mut();
-        readings.retain(|reading| reading.at_most(answered) >= told);
+        readings.retain(|reading| reading.upper_bound(answered) >= reported);
         drop(readings);
-        let source = if answered.since(asked) <= QUICK {
+        let source = if answered.since(requested) <= MAX_ROUND_TRIP {
             Source::Store
         } else {
-            Source::LateStore
+            Source::SlowStore
         };
-        self.take(Reading {
-            at: asked,
-            at_most: StoreTime(told.0 + RESOLUTION),
+        self.insert(Reading {
+            at: requested,
+            bound: StoreTime(reported.0 + RESOLUTION),
             source,
         });
     }
 
-    /// Takes in from another node that the store's clock showed at most this at that moment.
-    pub(crate) fn record_peer_bound(&self, at: Moment, at_most: StoreTime) {
-        self.take(Reading {
+    /// Records an upper bound that a peer reported for the local time `at`.
+    pub(crate) fn record_peer_bound(&self, at: Moment, bound: StoreTime) {
+        self.insert(Reading {
             at,
-            at_most,
+            bound,
             source: Source::Peer,
         });
     }
 
-    /// Takes in from another node that the store's clock has shown this.
+    /// Records a time that the store's clock has already shown, according to a peer.
     ///
-    /// A bound that it contradicts is raised, and replaced by the next reading. By more than a jump
-    /// it is not raised: nothing tells how long the message was under way.
+    /// A reading whose bound is lower is marked as contradicted, so that the next reading replaces
+    /// it. Its bound is raised if the difference is at most one jump. It is not raised further,
+    /// because the transit time of the message is unknown.
     pub(crate) fn record_observed_time(&self, now: Moment, shown: StoreTime) {
         let highest = StoreTime(shown.0 + RESOLUTION);
         for reading in self.readings.borrow_mut().iter_mut() {
-            let at_most = reading.at_most(now);
-            if at_most >= shown {
+            let bound = reading.upper_bound(now);
+            if bound >= shown {
                 continue;
             }
-            reading.source = Source::Doubtful;
-            if at_most.0 + JUMP + RESOLUTION >= shown.0 {
-                (reading.at, reading.at_most) = (now, highest);
+            reading.source = Source::Contradicted;
+            if bound.0 + MAX_JUMP + RESOLUTION >= shown.0 {
+                (reading.at, reading.bound) = (now, highest);
             }
         }
     }
 
-    fn take(&self, new: Reading) {
+    fn insert(&self, new: Reading) {
         let mut readings = self.readings.borrow_mut();
-        readings.retain(|known| known.is_fresh(new.at) && !known.is_needless_beside(&new));
-        if !readings.iter().any(|known| new.is_needless_beside(known)) {
+        readings.retain(|known| known.is_fresh(new.at) && !known.is_superseded_by(&new));
+        if !readings.iter().any(|known| new.is_superseded_by(known)) {
             readings.push(new);
         }
     }
 
-    /// Returns true if another node is to be asked what the store's clock shows.
+    /// Returns true if there is no usable reading, so that a peer should be asked for one.
     pub(crate) fn is_stale(&self, now: Moment) -> bool {
         let readings = self.readings.borrow();
-        let is_sound = |reading: &Reading| reading.source != Source::Doubtful;
+        let is_valid = |reading: &Reading| reading.source != Source::Contradicted;
         !readings
             .iter()
-            .any(|one| is_sound(one) && one.is_fresh(now))
+            .any(|reading| is_valid(reading) && reading.is_fresh(now))
     }
 
-    /// Returns true if a node that reaches the store is to read its clock again, at once.
+    /// Returns true if a node that reaches the store should read its clock with an immediate call.
     pub(crate) fn needs_refresh(&self, now: Moment) -> bool {
         let readings = self.readings.borrow();
-        let mut own = readings.iter().filter(|one| one.source == Source::Store);
-        own.all(|reading| now.since(reading.at) >= DUE)
+        let mut immediate = readings
+            .iter()
+            .filter(|reading| reading.source == Source::Store);
+        immediate.all(|reading| now.since(reading.at) >= REFRESH_INTERVAL)
     }
 
-    /// Returns what the store's clock shows at most.
+    /// Returns an upper bound of what the store's clock shows; `None` without any reading.
     pub(crate) fn upper_bound(&self, now: Moment) -> Option<StoreTime> {
         let readings = self.readings.borrow();
         let fresh = readings.iter().filter(|reading| reading.is_fresh(now));
-        let closest = fresh.map(|reading| reading.at_most(now)).min();
+        let closest = fresh.map(|reading| reading.upper_bound(now)).min();
         let latest = || readings.iter().max_by_key(|reading| reading.at);
-        closest.or_else(|| latest().map(|reading| reading.at_most(now)))
+        closest.or_else(|| latest().map(|reading| reading.upper_bound(now)))
     }
 
-    /// Returns what other nodes are told of it: only what the store itself said lately, so that no
-    /// reading goes round among the nodes.
+    /// Returns the bound to send to peers.
+    ///
+    /// It is derived only from recent responses of the store to this node. Otherwise peers would
+    /// pass the same reading to each other forever and never replace it.
     pub(crate) fn published_bound(&self, now: Moment) -> Option<StoreTime> {
         let readings = self.readings.borrow();
-        let is_own = |one: &&Reading| matches!(one.source, Source::Store | Source::LateStore);
+        let is_own =
+            |reading: &&Reading| matches!(reading.source, Source::Store | Source::SlowStore);
         let own = readings.iter().filter(is_own);
         let fresh = own.filter(|reading| reading.is_fresh(now));
-        fresh.map(|reading| reading.at_most(now)).min()
+        fresh.map(|reading| reading.upper_bound(now)).min()
     }
 
-    /// Returns the least time that has passed since the store's clock showed `then`; what cannot
-    /// be told, or lies ahead by more than a jump, is nothing.
+    /// Returns an upper bound of the time since the store's clock showed `then`; `None` if there is
+    /// no reading or if `then` is ahead of the bound by more than a jump.
     pub(crate) fn max_age(&self, then: StoreTime, now: Moment) -> Option<Duration> {
-        let at_most = self.upper_bound(now)?.0;
-        let is_known = at_most + JUMP + RESOLUTION >= then.0;
-        is_known.then(|| at_most.saturating_sub(then.0))
+        let bound = self.upper_bound(now)?.0;
+        let is_known = bound + MAX_JUMP + RESOLUTION >= then.0;
+        is_known.then(|| bound.saturating_sub(then.0))
     }
 }
--- a/crates/mesh/src/store/clock/tests.rs
+++ b/crates/mesh/src/store/clock/tests.rs
@@ -1,4 +1,4 @@
-//! How old something is by the store's clock.
+//! Ages computed with the estimate of the store's clock.
 
 mod apart;
 pub(crate) mod pair;
@@ -13,8 +13,12 @@
     Moment::since_boot(Duration::from_millis(millis))
 }
 
-fn note(clock: &Clock, asked: u64, answered: u64, told: u64) {
-    clock.record(at(asked), at(answered), StoreTime::from_millis(told));
+fn record(clock: &Clock, requested: u64, answered: u64, reported: u64) {
+    clock.record(
+        at(requested),
+        at(answered),
+        StoreTime::from_millis(reported),
+    );
 }
 
 fn age(clock: &Clock, then: u64, now: u64) -> Option<u64> {
@@ -27,49 +31,49 @@
     assert_eq!(age(&Clock::default(), 5, 100), None);
 }
 
-/// An answer that waited looks older, never younger.
+/// A slow response may make data look older than it is, never younger.
 #[test]
 fn late_answer() {
     let clock = Clock::default();
-    note(&clock, 1000, 1000, 50_000);
+    record(&clock, 1000, 1000, 50_000);
     assert_eq!(age(&clock, 50_000, 1000), Some(20));
-    // Asked at 2000, answered by the store at 51 500, heard at 4000: the first reading is closer.
-    note(&clock, 2000, 4000, 51_500);
+    // Requested at 2000, read by the store at 51 500, received at 4000: the first bound is closer.
+    record(&clock, 2000, 4000, 51_500);
     assert_eq!(age(&clock, 51_500, 4000), Some(1520 + 18));
 }
 
 #[test]
 fn better_answer() {
     let clock = Clock::default();
-    note(&clock, 1000, 1900, 50_900);
-    note(&clock, 2000, 2000, 51_000);
+    record(&clock, 1000, 1900, 50_900);
+    record(&clock, 2000, 2000, 51_000);
     assert_eq!(age(&clock, 51_000, 2000), Some(20));
 }
 
-/// A clock that began anew makes everything of before lie ahead.
+/// The age of a time that is far ahead of the store's clock is unknown, as after a clock reset.
 #[test]
 fn lies_ahead() {
     let clock = Clock::default();
-    note(&clock, 1000, 1000, 50_000);
+    record(&clock, 1000, 1000, 50_000);
     assert_eq!(age(&clock, 60_000, 1000), None);
 }
 
-/// A reading loses against the drift of the clocks after a while.
+/// The bound grows by the maximum drift with the age of its reading, until the next reading.
 #[test]
 fn drift() {
     let clock = Clock::default();
-    note(&clock, 0, 0, 0);
+    record(&clock, 0, 0, 0);
     let minute = 60_000;
     assert_eq!(age(&clock, minute, minute), Some(20 + 360));
-    note(&clock, minute, minute, minute);
+    record(&clock, minute, minute, minute);
     assert_eq!(age(&clock, minute, minute), Some(20));
 }
 
-/// Between two nodes that hear of it in turn a small step back is no new clock.
+/// A time that is slightly ahead of the bound, as seen through another node, has age zero.
 #[test]
 fn steps_back() {
     let clock = Clock::default();
-    note(&clock, 1000, 1000, 50_000);
-    note(&clock, 2000, 2000, 50_950);
+    record(&clock, 1000, 1000, 50_000);
+    record(&clock, 2000, 2000, 50_950);
     assert_eq!(age(&clock, 51_000, 2000), Some(0));
 }
--- a/crates/mesh/src/store/clock/tests/pair.rs
+++ b/crates/mesh/src/store/clock/tests/pair.rs
@@ -1,4 +1,4 @@
-//! The clocks of a node and of the store, which run apart and jump.
+//! Simulates the clocks of a node and of the store, which drift and jump apart.
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
 
 use crate::store::{Clock, StoreTime};
 
-/// What the store's clock shows when that of the node shows nothing yet.
+/// Store time in seconds when the node's clock is zero.
 const START: f64 = 1000.0;
-/// How long a follower's question waits for changes.
+/// Duration of a long poll for changes.
 pub(crate) const RENEWAL: Duration = Duration::from_millis(1250);
 
-/// How the two clocks behave to each other.
+/// How the store's clock runs relative to the node's.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Pair {
-    /// How much faster that of the store runs, in parts of a million.
+    /// How much faster the store's clock runs, in ppm.
     pub(crate) drift: f64,
-    /// By how many seconds it jumps,
+    /// Size of each jump of the store's clock, in seconds.
     pub(crate) jump: f64,
-    /// and how often, in seconds; nothing stands for never.
+    /// Time between two jumps, in seconds.
     pub(crate) jump_pause: f64,
-    /// The longest time, in seconds, for which a question or its answer is under way.
+    /// Longest transit time of a request or response, in seconds.
     pub(crate) delay: f64,
 }
 
-/// All drifts, jumps and delays that are to be borne.
+/// Returns all combinations of drifts, jumps and delays that the estimate must tolerate.
 pub(crate) fn all(delays: &[f64]) -> Vec<Pair> {
     let mut pairs = Vec::new();
     for drift in [0.0, 1000.0, -1000.0, 5000.0, -5000.0] {
@@ -45,7 +45,7 @@
 }
 
 impl Pair {
-    /// Returns what the store's clock shows at a moment of the node.
+    /// Returns what the store's clock shows at a local time.
     pub(crate) fn shown(&self, at: Moment) -> StoreTime {
         let at = at.since(Moment::default()).as_secs_f64();
         let jumps = (at / self.jump_pause).floor() * self.jump;
@@ -54,14 +54,14 @@
         ))
     }
 
-    /// Returns what the store tells at a moment, in hundredths of a second.
+    /// Returns the time that the store reports at a local time, rounded to 10 ms.
     pub(crate) fn reported(&self, at: Moment) -> StoreTime {
         let shown = self.shown(at).0.as_secs_f64();
         StoreTime(Duration::from_secs_f64((shown * 100.0).round() / 100.0))
     }
 }
 
-/// An answer of the store.
+/// A response of the store, with the local times of the request and the response.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Response {
     pub(crate) requested: Moment,
@@ -69,12 +69,12 @@
     pub(crate) reported: StoreTime,
 }
 
-/// Asks the store over and over.
+/// Simulates consecutive calls of the store.
 pub(crate) struct Calls {
     pair: Pair,
     random: StdRng,
-    /// The last question was to be answered at once.
-    was_quick: bool,
+    /// Whether the last call asked for an immediate response.
+    was_immediate: bool,
 }
 
 impl Calls {
@@ -82,26 +82,26 @@
         Self {
             pair,
             random: StdRng::seed_from_u64(seed),
-            was_quick: false,
+            was_immediate: false,
         }
     }
 
-    /// Asks at a moment; the store answers after a while, or at once the first time and if the clock
-    /// is due.
-    pub(crate) fn call(&mut self, clock: &Clock, asked: Moment) -> Response {
-        let is_first = clock.upper_bound(asked).is_none();
-        self.was_quick = is_first || !self.was_quick && clock.needs_refresh(asked);
-        let wait = if self.was_quick {
+    /// Calls the store at a local time. The response comes after a long poll, or immediately for
+    /// the first call and when the clock needs a refresh.
+    pub(crate) fn call(&mut self, clock: &Clock, requested: Moment) -> Response {
+        let is_first = clock.upper_bound(requested).is_none();
+        self.was_immediate = is_first || !self.was_immediate && clock.needs_refresh(requested);
+        let wait = if self.was_immediate {
             Duration::ZERO
         } else {
             RENEWAL
         };
         let mut delay = || Duration::from_secs_f64(self.random.random_range(0.0..self.pair.delay));
-        let told_at = asked + delay() + wait;
+        let read_at = requested + delay() + wait;
         Response {
-            requested: asked,
-            answered: told_at + delay(),
-            reported: self.pair.reported(told_at),
+            requested,
+            answered: read_at + delay(),
+            reported: self.pair.reported(read_at),
         }
     }
 }
--- a/crates/mesh/src/store/mod.rs
+++ b/crates/mesh/src/store/mod.rs
@@ -10,7 +10,7 @@
 use sailtrack_units::Era;
 
 pub use clock::StoreTime;
-pub(crate) use clock::{Clock, DRIFT as CLOCK_DRIFT, ERROR as CLOCK_ERROR};
+pub(crate) use clock::{Clock, MAX_DRIFT as CLOCK_DRIFT, MAX_ERROR as CLOCK_ERROR};
 pub(crate) use feed::{Debounce, Follower, LONG_POLL_TIMEOUT, Reachability, follow};
 
 /// The tables that the mesh uses.
