--- a/crates/mesh/src/store/mod.rs
+++ b/crates/mesh/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store in which everything lives that must outlast a node.
+//! Interface of the store, which holds all state that must outlive a node.
 
 pub(crate) mod clock;
 mod feed;
@@ -13,7 +13,7 @@
 pub(crate) use clock::{Clock, MAX_DRIFT as CLOCK_DRIFT, MAX_ERROR as CLOCK_ERROR};
 pub(crate) use feed::{Debounce, Follower, LONG_POLL_TIMEOUT, Reachability, follow};
 
-/// The tables that the mesh uses.
+/// A table of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Table {
     /// configuration
@@ -26,75 +26,75 @@
     Quotas,
 }
 
-/// The version of the whole store after a transaction.
+/// A version of the whole store, assigned by each transaction.
 ///
-/// A store that comes back from a copy gives numbers out again; the later era is the later version.
+/// A store that is restored from a backup reuses numbers, so versions are ordered by era first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct StoreVersion {
     /// The era of the store.
     pub era: Era,
-    /// The number within it.
+    /// The transaction number within the era.
     pub number: u64,
 }
 
-/// What a row holds.
+/// The content of a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Content {
     /// A text.
     Text(String),
-    /// Nothing, since the row was removed.
+    /// The row was removed.
     Removed,
-    /// Something that is no text, written by somebody else; why it cannot be read.
+    /// Content that is not text and was not written by a node, with the reason why it is unreadable.
     Unreadable(String),
 }
 
 /// One row of a table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Its key; empty if that cannot be read.
+    /// The key; empty if it cannot be read.
     pub key: String,
-    /// What it holds.
+    /// The content.
     pub content: Content,
-    /// The version at which it was last changed.
+    /// The store version of the last change.
     pub version: StoreVersion,
 }
 
-/// Rows as of one moment.
+/// A consistent snapshot of rows, or the changes since a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rows {
     /// The rows.
     pub rows: Vec<Row>,
-    /// The version of the store at that moment.
+    /// The version of the store at the time of the read.
     pub version: StoreVersion,
-    /// What the clock of the store showed then, if it tells that.
+    /// The store's clock at the time of the read, if reported.
     pub now: Option<StoreTime>,
-    /// Whether these are all rows that were asked for.
+    /// Whether all requested rows are included.
     pub is_complete: bool,
 }
 
-/// One row as of one moment.
+/// The result of reading one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Lookup {
-    /// The row, if it is there.
+    /// The row, if it exists.
     pub row: Option<Row>,
     /// The era of the store.
     pub era: Era,
-    /// What the clock of the store showed then, if it tells that.
+    /// The store's clock at the time of the read, if reported.
     pub now: Option<StoreTime>,
 }
 
 /// Why an operation on the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum StoreError {
-    /// the store cannot be reached, or its answer was lost: {0}
+    /// no response from the store: {0}
     Unanswered(String),
-    /// the store refuses at present, with status {0}; nothing was done
+    /// the store rejected the operation with status {0}; it had no effect
     Refused(u16),
-    /// the store does not have the history that was asked for: no longer, or not in this era
+    /// the store does not have the requested history: it was discarded or is of another era
     HistoryGone,
-    /// a row has another version than was required
+    /// version conflict: a row does not have the expected version
     Conflict,
-    /// the answer of the store cannot be read: {0}
+    /// malformed response from the store: {0}
     Malformed(String),
 }
 
@@ -105,7 +105,7 @@
 
 /// A transactional store of rows.
 ///
-/// An operation without an answer may have been performed, or may be later.
+/// An operation that fails without a response may have taken effect, or may still do so later.
 pub trait Store {
     /// Returns all rows of a table.
     fn rows(&self, table: Table) -> Operation<'_, Rows>;
@@ -113,13 +113,15 @@
     /// Returns one row of a table.
     fn row<'a>(&'a self, table: Table, key: &'a str) -> Operation<'a, Lookup>;
 
-    /// Returns the rows that changed after a version, as soon as there is one or `wait` is over.
+    /// Long poll: returns the rows that changed after a version as soon as there are any, or an
+    /// empty list after `wait`.
     fn changes(&self, table: Table, after: StoreVersion, wait: Duration) -> Operation<'_, Rows>;
 
-    /// Writes a row, whatever stands there.
+    /// Writes a row unconditionally.
     fn put<'a>(&'a self, table: Table, key: &'a str, value: &'a str) -> Operation<'a, ()>;
 
-    /// Writes a row if it still has this version; zero stands for one that is not there.
+    /// Compare-and-swap: writes a row if it still has this version; version zero requires that the
+    /// row does not exist.
     fn replace<'a>(
         &'a self,
         table: Table,
@@ -128,7 +130,7 @@
         version: StoreVersion,
     ) -> Operation<'a, ()>;
 
-    /// Removes a row if it still has this version.
+    /// Compare-and-delete: removes a row if it still has this version.
     fn remove<'a>(&'a self, table: Table, key: &'a str, version: StoreVersion)
     -> Operation<'a, ()>;
 }
