--- a/crates/mesh/src/cleanup.rs
+++ b/crates/mesh/src/cleanup.rs
@@ -1,4 +1,4 @@
-//! Removes the rows of nodes that are gone for good.
+//! Removes the membership rows of dead nodes from the store.
 
 use std::rc::Rc;
 
@@ -11,15 +11,14 @@
 use crate::reload::Reload;
 use crate::store::{Clock, Store, StoreError, Table};
 
-/// How often lost nodes are looked for, as a part of the time after which they are gone.
-const LOOKS: u32 = 4;
+/// Number of checks for dead nodes within the time after which a node counts as dead.
+const CHECKS_PER_TIMEOUT: u32 = 4;
 
-/// Removes the rows of nodes that could not be reached for `forget_after`, for as long as the task
-/// lives.
+/// Removes the rows of nodes that were unreachable for `forget_after`, forever.
 ///
-/// A node that is alive finds its row missing and writes it again, so removing one too many costs
-/// two writes. All nodes see the same dead one; each tries with a probability that makes it one
-/// of them on average.
+/// Removing the row of a live node costs only two writes, since the node notices that its row is
+/// missing and writes it again. All nodes detect the same dead node, so each attempts the removal
+/// with a probability of one in the number of nodes: on average one of them does.
 pub(crate) async fn remove_dead(
     store: Rc<dyn Store>,
     directory: Rc<Directory>,
@@ -29,9 +28,9 @@
 ) {
     loop {
         let forget_after = reload.settings().forget_after.0;
-        sleep(forget_after / LOOKS).await;
+        sleep(forget_after / CHECKS_PER_TIMEOUT).await;
         for name in peers.unreachable_for(forget_after) {
-            // A version of an earlier era may by now be that of another row.
+            // The store may have reused a version of an earlier era for another row.
             let version = directory.row_version(&name);
             let Some(version) = version.filter(|version| version.era == clock.era()) else {
                 continue;
@@ -42,7 +41,7 @@
             }
             match store.remove(Table::Members, name.as_str(), version).await {
                 Ok(()) => emit(&catalogue::ROW_REMOVED, &[("node", &name)]),
-                // Somebody else removed it, or the node is back.
+                // Another node removed the row, or the node is back and wrote it again.
                 Err(StoreError::Conflict) => {}
                 Err(error) => emit(
                     &catalogue::STORE_FAILED,
--- a/crates/mesh/src/directory.rs
+++ b/crates/mesh/src/directory.rs
@@ -1,4 +1,4 @@
-//! The nodes that this one knows, from the store and from each other.
+//! Membership: the nodes known to this one, from the store and from peers.
 
 #[cfg(test)]
 mod tests;
@@ -18,24 +18,25 @@
 
 use crate::store::{Content, Row, StoreVersion};
 
-/// One node of the mesh. Nothing in it changes while the node lives, so its row is written once.
+/// One node of the mesh. Its fields are constant while the process runs, so its row is written
+/// once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Member {
     pub(crate) name: NodeName,
     pub(crate) service: ServiceName,
     pub(crate) domain: DomainName,
-    /// Where it takes connections of other nodes.
+    /// Where the node accepts connections of peers.
     pub(crate) address: SocketAddr,
 }
 
-/// what a node says about itself cannot be read: {0}
+/// invalid membership entry: {0}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub(crate) struct MemberError(String);
 
 impl std::error::Error for MemberError {}
 
 impl Member {
-    /// Reads what a node says about itself.
+    /// Parses the entry that a node sends about itself.
     pub(crate) fn from_wire(message: &MemberMessage) -> Result<Self, MemberError> {
         let error = |what: &dyn std::fmt::Display| MemberError(what.to_string());
         Ok(Self {
@@ -46,11 +47,16 @@
         })
     }
 
-    /// Returns what is said about it in this state.
-    pub(crate) fn to_wire(&self, life: Incarnation, state: State, slots: u32) -> MemberMessage {
+    /// Returns the message for this node in the given state.
+    pub(crate) fn to_wire(
+        &self,
+        incarnation: Incarnation,
+        state: State,
+        slots: u32,
+    ) -> MemberMessage {
         MemberMessage {
             node: self.name.to_string(),
-            incarnation: life.0,
+            incarnation: incarnation.0,
             revision: 0,
             service: self.service.to_string(),
             domain: self.domain.to_string(),
@@ -60,7 +66,7 @@
         }
     }
 
-    /// Reads a row of the store.
+    /// Parses a row of the store.
     fn from_row(row: &Row) -> Result<Self, MemberError> {
         let text = match &row.content {
             Content::Text(text) => text,
@@ -76,30 +82,30 @@
         }
     }
 
-    /// Returns the text of its row in the store.
+    /// Returns the content of the node's row in the store.
     pub(crate) fn to_row(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// Hears of nodes that became known or changed their address, and of those that are forgotten.
+/// Is notified of changes of the membership.
 pub(crate) trait Observer {
-    /// A node became known or has another address.
+    /// Called when a node joined or any of its fields, such as the address, changed.
     fn joined(&self, member: &Rc<Member>);
 
-    /// The row of a node is gone; returns true if the node is to be forgotten.
+    /// Called when the row of a node was removed; returns true if the node should be forgotten.
     fn should_forget(&self, member: &Member) -> bool;
 }
 
-/// The nodes that this one knows.
+/// The nodes known to this one.
 pub(crate) struct Directory {
     own: Member,
     members: RefCell<BTreeMap<NodeName, Rc<Member>>>,
     /// The versions of the rows in the store.
     rows: RefCell<BTreeMap<String, StoreVersion>>,
-    /// The keys of rows that name no node: somebody else wrote them.
+    /// The keys of rows that are no valid membership entries, so were not written by a node.
     foreign: RefCell<BTreeSet<String>>,
-    /// The own row was seen as it has to be.
+    /// Whether the store is known to hold this node's row with the correct content.
     has_own_row: Cell<bool>,
     observer: RefCell<Option<Rc<dyn Observer>>>,
     own_row_lost: RefCell<Option<Rc<dyn Fn()>>>,
@@ -122,7 +128,7 @@
         }
     }
 
-    /// Tells an observer of all nodes, those that are known already included.
+    /// Sets the observer and notifies it of all nodes that are already known.
     pub(crate) fn observe(&self, observer: Rc<dyn Observer>) {
         for member in self.members.borrow().values() {
             observer.joined(member);
@@ -130,39 +136,39 @@
         *self.observer.borrow_mut() = Some(observer);
     }
 
-    /// Calls `lost` when the row of this node is missing in the store.
-    pub(crate) fn on_own_row_lost(&self, lost: impl Fn() + 'static) {
-        *self.own_row_lost.borrow_mut() = Some(Rc::new(lost));
+    /// Sets a callback that runs when this node's row is missing or wrong in the store.
+    pub(crate) fn on_own_row_lost(&self, callback: impl Fn() + 'static) {
+        *self.own_row_lost.borrow_mut() = Some(Rc::new(callback));
     }
 
-    /// Returns this node.
+    /// Returns the entry of this node.
     pub(crate) fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Returns true if the row of this node was seen in the store.
+    /// Returns true if the store is known to hold this node's row with the correct content.
     pub(crate) fn has_own_row(&self) -> bool {
         self.has_own_row.get()
     }
 
-    /// Returns true if a node is known to stand in the own failure domain.
+    /// Returns true if a node is known to be in the failure domain of this one.
     pub(crate) fn is_near(&self, name: &NodeName) -> bool {
         let members = self.members.borrow();
         let member = members.get(name);
         member.is_some_and(|member| member.domain == self.own.domain)
     }
 
-    /// Returns how many other nodes are known.
+    /// Returns the number of other nodes.
     pub(crate) fn len(&self) -> usize {
         self.members.borrow().len()
     }
 
-    /// Returns every other node.
+    /// Returns all other nodes.
     pub(crate) fn all(&self) -> Vec<Rc<Member>> {
         self.members.borrow().values().cloned().collect()
     }
 
-    /// Returns some other nodes, drawn at random if there are more.
+    /// Returns up to `count` other nodes, chosen at random.
     pub(crate) fn sample(&self, count: usize) -> Vec<Rc<Member>> {
         let members = self.members.borrow();
         members
@@ -171,7 +177,7 @@
             .choose_multiple(&mut rand::rng(), count)
     }
 
-    /// Takes in what is known about a node.
+    /// Adds or updates a node and notifies the observer of any change.
     pub(crate) fn upsert(&self, member: Member) {
         if member.name == self.own.name {
             return;
@@ -196,10 +202,10 @@
         }
     }
 
-    /// Forgets a node if the observer finds that it cannot be reached either.
-    fn row_gone(&self, name: &str) {
+    /// Forgets a node whose row was removed, if the observer agrees.
+    fn handle_removed_row(&self, name: &str) {
         if name == self.own.name.as_str() {
-            self.note_own_row_lost();
+            self.handle_own_row_lost();
             return;
         }
         let members = self.members.borrow();
@@ -216,68 +222,68 @@
         }
     }
 
-    /// Takes in that the row of this node may be lost: it is looked for again.
+    /// Forgets that this node's row was found in the store, so that it is looked up again.
     pub(crate) fn mark_own_row_unverified(&self) {
         self.has_own_row.set(false);
     }
 
-    fn note_own_row_lost(&self) {
+    fn handle_own_row_lost(&self) {
         self.has_own_row.set(false);
-        let lost = self.own_row_lost.borrow().clone();
-        if let Some(lost) = lost {
-            lost();
+        let callback = self.own_row_lost.borrow().clone();
+        if let Some(callback) = callback {
+            callback();
         }
     }
 
-    /// Returns the version of the row of a node, if it has one.
+    /// Returns the version of the row of a node, if there is one.
     pub(crate) fn row_version(&self, name: &NodeName) -> Option<StoreVersion> {
         self.rows.borrow().get(name.as_str()).copied()
     }
 
-    /// Returns how many rows name no node.
+    /// Returns the number of rows that are no valid membership entries.
     pub(crate) fn foreign_row_count(&self) -> usize {
         self.foreign.borrow().len()
     }
 
-    /// Takes in rows, and logs once for all of them what could not be read.
-    fn take_all(&self, rows: &[Row]) {
-        let refused = rows
+    /// Applies rows. Invalid rows are logged as one event with the first error.
+    fn apply_all(&self, rows: &[Row]) {
+        let invalid = rows
             .iter()
-            .filter_map(|row| self.take(row).err().map(|error| (row, error)));
-        let refused: Vec<_> = refused.collect();
-        if let Some((row, error)) = refused.first() {
+            .filter_map(|row| self.apply(row).err().map(|error| (row, error)));
+        let invalid: Vec<_> = invalid.collect();
+        if let Some((row, error)) = invalid.first() {
             emit(
                 &catalogue::ROW_REFUSED,
                 &[
                     ("table", &"members"),
                     ("key", &row.key),
                     ("reason", error),
-                    ("rows", &refused.len()),
+                    ("rows", &invalid.len()),
                 ],
             );
         }
     }
 
-    /// Takes in a row. One that names no node changes nothing about those that are known: it was
-    /// not written by the node whose key it may have.
-    fn take(&self, row: &Row) -> Result<(), MemberError> {
+    /// Applies one row. An invalid row does not affect a known node, even if it has its key: it was
+    /// not written by that node.
+    fn apply(&self, row: &Row) -> Result<(), MemberError> {
         self.foreign.borrow_mut().remove(&row.key);
         if row.content == Content::Removed {
             self.rows.borrow_mut().remove(&row.key);
-            self.row_gone(&row.key);
+            self.handle_removed_row(&row.key);
             return Ok(());
         }
         let key = row.key.clone();
         self.rows.borrow_mut().insert(key, row.version);
-        let read = Member::from_row(row);
-        if read.as_ref() == Ok(&self.own) {
+        let parsed = Member::from_row(row);
+        if parsed.as_ref() == Ok(&self.own) {
             self.has_own_row.set(true);
             return Ok(());
         }
         if row.key == self.own.name.as_str() {
-            self.note_own_row_lost();
+            self.handle_own_row_lost();
         }
-        let member = read.inspect_err(|_| {
+        let member = parsed.inspect_err(|_| {
             self.foreign.borrow_mut().insert(row.key.clone());
         })?;
         self.upsert(member);
@@ -285,28 +291,28 @@
     }
 }
 
-/// What the rows of the store tell.
+/// Updates from the store.
 impl Directory {
-    /// Takes in all rows as of one moment.
+    /// Replaces all rows by a snapshot of the table.
     pub(crate) fn reset(&self, rows: &[Row]) {
         self.rows.borrow_mut().clear();
         self.foreign.borrow_mut().clear();
-        self.take_all(rows);
+        self.apply_all(rows);
         let missing = self.all().into_iter().filter(|member| {
             let key = member.name.as_str();
             !rows.iter().any(|row| row.key == key)
         });
         for member in missing.collect::<Vec<_>>() {
-            self.row_gone(member.name.as_str());
+            self.handle_removed_row(member.name.as_str());
         }
         let own = self.own.name.as_str();
         if !rows.iter().any(|row| row.key == own) {
-            self.note_own_row_lost();
+            self.handle_own_row_lost();
         }
     }
 
-    /// Takes in rows that changed.
+    /// Applies rows that changed.
     pub(crate) fn apply_changes(&self, rows: &[Row]) {
-        self.take_all(rows);
+        self.apply_all(rows);
     }
 }
--- a/crates/mesh/src/directory/tests.rs
+++ b/crates/mesh/src/directory/tests.rs
@@ -1,4 +1,4 @@
-//! What is told of the nodes that are known.
+//! Samples of the known nodes, as sent to peers.
 
 use std::collections::HashSet;
 
@@ -26,15 +26,15 @@
     assert_eq!(directory(5).sample(16).len(), 5);
 }
 
-/// Who meets many nodes hears of all, though each tells of some.
+/// Repeated random samples cover all nodes.
 #[test]
 fn some_of_many() {
     let directory = directory(100);
-    let mut heard = HashSet::new();
+    let mut sampled = HashSet::new();
     for _ in 0..100 {
         let sample = directory.sample(16);
         assert_eq!(sample.len(), 16);
-        heard.extend(sample.iter().map(|member| member.name.clone()));
+        sampled.extend(sample.iter().map(|member| member.name.clone()));
     }
-    assert_eq!(heard.len(), 100);
+    assert_eq!(sampled.len(), 100);
 }
--- a/crates/mesh/src/gossip.rs
+++ b/crates/mesh/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Takes in what other nodes say about themselves and pass on.
+//! Handles presence messages, evidence and clock readings from peers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,12 +21,12 @@
 use crate::status::Status;
 use crate::store::{Clock, StoreTime};
 
-/// How often nodes say what they are like: a frozen node is noticed after three of these.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(300);
-/// What is added for each node, so that all of them send at most 100 messages a second to one.
-const INTERVAL_FOR_EACH: Duration = Duration::from_millis(10);
+/// Shortest interval between two presence messages. A frozen node is detected after three of them.
+const MIN_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval per known node. Each node receives at most 100 messages per second from all others.
+const INTERVAL_PER_NODE: Duration = Duration::from_millis(10);
 
-/// Takes in what other nodes say about themselves and pass on.
+/// Applies the messages of peers to the state of this node.
 pub(crate) struct Handler {
     pub(crate) directory: Rc<Directory>,
     pub(crate) current: Rc<Current>,
@@ -35,7 +35,7 @@
     pub(crate) quarantine: Rc<Quarantine>,
     pub(crate) freshness: Rc<Freshness>,
     pub(crate) clock: Rc<Clock>,
-    /// Whom to ask for a newer configuration.
+    /// Queue of peers that offer a newer configuration.
     pub(crate) providers: RefCell<mpsc::Sender<Provider>>,
 }
 
@@ -50,13 +50,14 @@
 
     fn handle_presence(&self, from: &NodeName, presence: &Presence) {
         for upstream in &presence.retired {
-            // Nodes pass on what they could read; what this one cannot read names nobody here.
-            if let Ok(life) = upstream.parse::<UpstreamKey>() {
-                self.retired.note(life);
+            // Peers only propagate keys that they could parse. A key that cannot be parsed here
+            // cannot match an upstream of this node.
+            if let Ok(key) = upstream.parse::<UpstreamKey>() {
+                self.retired.note(key);
             }
         }
         for known in &presence.known {
-            // A node that cannot be read here is met when it connects itself.
+            // A node whose entry cannot be parsed is added when it connects to this one.
             if let Ok(member) = Member::from_wire(known) {
                 self.directory.upsert(member);
             }
@@ -76,7 +77,8 @@
                 version,
                 is_near: self.directory.is_near(from),
             };
-            // A full channel holds others that can be asked, and this one says it again.
+            // A full queue holds other providers, and the peer repeats its version with the next
+            // presence message.
             let _ = self.providers.borrow_mut().try_send(provider);
         }
     }
@@ -104,10 +106,10 @@
 
 fn interval(nodes: usize) -> Duration {
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-    SHORTEST_INTERVAL.max(INTERVAL_FOR_EACH * nodes)
+    MIN_INTERVAL.max(INTERVAL_PER_NODE * nodes)
 }
 
-/// Says what this node is like, for as long as the task lives.
+/// Sends presence messages to all connected peers at the heartbeat interval, forever.
 pub(crate) async fn publish_periodically(status: Rc<Status>, directory: Rc<Directory>) {
     loop {
         sleep(interval(directory.len())).await;
--- a/crates/mesh/src/watch.rs
+++ b/crates/mesh/src/watch.rs
@@ -1,12 +1,14 @@
-//! Which nodes follow the store, on behalf of the others too.
+//! Selects the nodes that watch the store for changes on behalf of the others.
 //!
-//! A call that waits for changes ends with each change, and every node that
-//! follows a table pays for it: in a run of some 45 s without trouble 194
-//! nodes make 2,784 calls if all follow, and 994 if some do. So some nodes of each failure domain follow, and the others hear of a
-//! newer configuration from them. Who does is found by each node alone: the
-//! first by a hash of their names among those that it hears from. A node that
-//! hears from none of them finds itself among the first, so a failure domain
-//! that is cut off goes on by itself.
+//! Every change ends the long polls of all nodes that watch a table, and each
+//! of them must call again. In a run of about 45 s without faults, 194 nodes
+//! made 2,784 calls when all of them watched, and 994 when only some did.
+//!
+//! So a few nodes of each failure domain watch, and the others learn of newer
+//! configurations from them. Each node decides on its own whether it watches:
+//! it does if its name is among the first, ordered by hash, of the nodes that
+//! it hears from. A node that hears from no watcher therefore becomes one, so
+//! an isolated failure domain keeps working.
 
 use std::rc::Rc;
 
@@ -17,28 +19,28 @@
 use crate::peer::Peers;
 use crate::store::Reachability;
 
-/// How many nodes of each failure domain follow the store: if the store turns away a third of the
-/// nodes without a word, one of three is served in 26 of 27 cases, and the other failure domains
-/// pass on what they hear as well.
+/// Number of watchers per failure domain. If the store silently drops the calls of a third of the
+/// nodes, at least one of three watchers is served in 26 of 27 cases, and the other failure domains
+/// propagate what they learn as well.
 pub(crate) const WATCHERS: usize = 3;
 
-/// The place of a node in the order in which nodes follow; the smallest come first.
+/// Position of a node in the order in which nodes become watchers; the lowest come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Priority(u64);
 
 impl Priority {
-    /// Returns the place of a node; nodes of one failure domain rarely share one.
+    /// Derives the priority from the name; collisions within a failure domain are unlikely.
     pub(crate) fn of(name: &NodeName) -> Self {
         Self(xxh3_64(name.as_str().as_bytes()))
     }
 }
 
-/// Whether this node follows the store.
+/// Decides whether this node watches the store.
 pub(crate) struct Watch {
-    place: Priority,
+    priority: Priority,
     domain: DomainName,
     peers: Rc<Peers>,
-    reach: Rc<Reachability>,
+    reachability: Rc<Reachability>,
 }
 
 impl Service for Watch {
@@ -50,25 +52,26 @@
         name: &NodeName,
         domain: DomainName,
         peers: Rc<Peers>,
-        reach: Rc<Reachability>,
+        reachability: Rc<Reachability>,
     ) -> Self {
         Self {
-            place: Priority::of(name),
+            priority: Priority::of(name),
             domain,
             peers,
-            reach,
+            reachability,
         }
     }
 
-    /// Returns how many nodes of the failure domain stand before this one and reach the store.
+    /// Returns how many nodes of the failure domain come before this one and reach the store.
     pub(crate) fn ahead_count(&self) -> usize {
-        self.peers.watchers_ahead_of(self.place, &self.domain)
+        self.peers.watchers_ahead_of(self.priority, &self.domain)
     }
 
-    /// Returns true while this node follows the store.
+    /// Returns true while this node watches the store.
     ///
-    /// One that has lost it goes on asking, and the others do not count on it meanwhile.
+    /// A node that cannot reach the store keeps calling it. The others do not count it as a watcher
+    /// meanwhile.
     pub(crate) fn is_active(&self) -> bool {
-        self.reach.is_unreachable() || self.ahead_count() < WATCHERS
+        self.reachability.is_unreachable() || self.ahead_count() < WATCHERS
     }
 }
