--- a/crates/mesh/src/configuration/fetch.rs
+++ b/crates/mesh/src/configuration/fetch.rs
@@ -27,7 +27,7 @@
     pub(crate) name: NodeName,
     pub(crate) version: ConfigVersion,
     /// It stands in the own failure domain.
-    pub(crate) is_near: bool,
+    pub(crate) is_same_domain: bool,
 }
 
 /// Asks other nodes for configurations, for as long as the task lives.
@@ -70,13 +70,13 @@
         let mut known = vec![first.clone()];
         let pause = HEAD_START.mul_f64(rand::rng().random_range(0.0..1.0));
         gather(pause, providers, &mut known).await;
-        if !known.iter().any(|provider| provider.is_near) {
+        if !known.iter().any(|provider| provider.is_same_domain) {
             gather(HEAD_START.saturating_sub(pause), providers, &mut known).await;
         }
         let newest = known.iter().map(|provider| provider.version).max();
         known.retain(|provider| Some(provider.version) == newest);
-        if known.iter().any(|provider| provider.is_near) {
-            known.retain(|provider| provider.is_near);
+        if known.iter().any(|provider| provider.is_same_domain) {
+            known.retain(|provider| provider.is_same_domain);
         }
         known.into_iter().choose(&mut rand::rng()).unwrap_or(first)
     }
--- a/crates/mesh/src/directory.rs
+++ b/crates/mesh/src/directory.rs
@@ -152,7 +152,7 @@
     }
 
     /// Returns true if a node is known to be in the failure domain of this one.
-    pub(crate) fn is_near(&self, name: &NodeName) -> bool {
+    pub(crate) fn is_same_domain(&self, name: &NodeName) -> bool {
         let members = self.members.borrow();
         let member = members.get(name);
         member.is_some_and(|member| member.domain == self.own.domain)
--- a/crates/mesh/src/gossip.rs
+++ b/crates/mesh/src/gossip.rs
@@ -75,7 +75,7 @@
             let provider = Provider {
                 name: from.clone(),
                 version,
-                is_near: self.directory.is_near(from),
+                is_same_domain: self.directory.is_same_domain(from),
             };
             // A full queue holds other providers, and the peer repeats its version with the next
             // presence message.
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -64,13 +64,13 @@
 #[derive(Clone, Default)]
 pub(crate) struct Group {
     /// Those in the own failure domain,
-    pub(crate) near: Vec<Rc<Link>>,
+    pub(crate) same_domain: Vec<Rc<Link>>,
     /// and those in the others.
-    pub(crate) far: Vec<Rc<Link>>,
+    pub(crate) other_domains: Vec<Rc<Link>>,
     /// How full the near ones are together,
-    pub(crate) near_levels: Rc<RefCell<Levels>>,
+    pub(crate) same_domain_levels: Rc<RefCell<Levels>>,
     /// and the far ones.
-    pub(crate) far_levels: Rc<RefCell<Levels>>,
+    pub(crate) other_domain_levels: Rc<RefCell<Levels>>,
 }
 
 /// The links to all nodes that are known.
@@ -106,7 +106,7 @@
     pub(crate) fn local_load(&self, service: &ServiceName) -> Rc<RefCell<PeerLoad>> {
         let mut by_service = self.by_service.borrow_mut();
         let placed = by_service.entry(service.clone()).or_default();
-        Rc::new(RefCell::new(PeerLoad::beside(&placed.near_levels)))
+        Rc::new(RefCell::new(PeerLoad::beside(&placed.same_domain_levels)))
     }
 
     /// Returns the links to nodes whose upstreams this node has sent requests to.
@@ -216,8 +216,12 @@
             let mut by_service = self.by_service.borrow_mut();
             if let Some(placed) = by_service.get_mut(&link.member.service) {
                 let placed = Rc::make_mut(placed);
-                placed.near.retain(|other| other.member.name != *name);
-                placed.far.retain(|other| other.member.name != *name);
+                placed
+                    .same_domain
+                    .retain(|other| other.member.name != *name);
+                placed
+                    .other_domains
+                    .retain(|other| other.member.name != *name);
             }
         }
     }
@@ -231,9 +235,9 @@
         let placed = by_service.entry(member.service.clone()).or_default();
         let placed = Rc::make_mut(placed);
         let (links, levels) = if member.domain == self.domain {
-            (&mut placed.near, &placed.near_levels)
+            (&mut placed.same_domain, &placed.same_domain_levels)
         } else {
-            (&mut placed.far, &placed.far_levels)
+            (&mut placed.other_domains, &placed.other_domain_levels)
         };
         link.load.replace(PeerLoad::beside(levels));
         links.push(Rc::clone(&link));
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -72,12 +72,12 @@
         let learning = self.learned.of(&work.service);
         let is_own = self.takes(&work.service, tried, now);
         let need = learning.times.borrow().need(&work.kind, work.time_left());
-        let levels = [&placed.near_levels, &placed.far_levels];
+        let levels = [&placed.same_domain_levels, &placed.other_domain_levels];
         let levels = levels.map(|levels| levels.borrow().at(now, work.class));
         let sides = Sides {
             // The own upstream comes after the other near ones.
-            near: placed.near.len() + usize::from(is_own),
-            far: placed.far.len(),
+            near: placed.same_domain.len() + usize::from(is_own),
+            far: placed.other_domains.len(),
             look: |side, place| match link(&placed, side, place) {
                 Some(link) => look(link, work.class, tried, now),
                 None => Some(self.look_at_own(work.class, now)),
@@ -104,7 +104,7 @@
         identity: &Identity,
     ) -> Option<Target> {
         let placed = self.peers.for_service(service).unwrap_or_default();
-        let links = placed.near.iter().chain(&placed.far);
+        let links = placed.same_domain.iter().chain(&placed.other_domains);
         let remote = links
             .filter(|link| is_usable(link, tried))
             .map(|link| Target::Remote(Rc::clone(link)));
@@ -147,8 +147,8 @@
 /// Returns the link in a place, or nothing for the own upstream.
 fn link(placed: &Group, side: Side, place: usize) -> Option<&Rc<Link>> {
     match side {
-        Side::Near => placed.near.get(place),
-        Side::Far => placed.far.get(place),
+        Side::Near => placed.same_domain.get(place),
+        Side::Far => placed.other_domains.get(place),
     }
 }
 
