--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -242,7 +242,7 @@
 async fn attempt_remote(work: &Request, link: &Link) -> Response {
     if !work.idempotent {
         return match link.forward(work).await {
-            Delivery::Returned(returned) => returned,
+            Delivery::Answered(returned) => returned,
             Delivery::Unsent => Response::refused(Reason::Connection),
             Delivery::Lost(life) => link.recall(&work.attempt, life).await,
         };
@@ -250,7 +250,7 @@
     let forward = std::pin::pin!(link.forward(work));
     let silence = std::pin::pin!(wait_for_silence(link));
     match select(forward, silence).await {
-        Either::Left((Delivery::Returned(returned), _)) => returned,
+        Either::Left((Delivery::Answered(returned), _)) => returned,
         Either::Left((Delivery::Unsent, _)) => Response::refused(Reason::Connection),
         Either::Left((Delivery::Lost(_), _)) | Either::Right(_) => {
             Response::unknown(Reason::Connection)
