--- a/crates/mesh/src/entry/admission.rs
+++ b/crates/mesh/src/entry/admission.rs
@@ -5,12 +5,12 @@
 use sailtrack_wire::Reason;
 
 use crate::clock;
+use crate::entry::CredentialError;
 use crate::entry::Entry;
-use crate::entry::KeyRefusal;
 use crate::entry::request::Incoming;
 use crate::quota::{Shortage, Token};
-use crate::returns;
-use crate::work::Returned;
+use crate::request::Response;
+use crate::retry_after;
 
 /// When a client of a node that is about to end may come back; it finds another node at once.
 const CLOSED_RETURN: Duration = Duration::from_millis(100);
@@ -18,9 +18,9 @@
 /// Why a request is not let in.
 pub(super) enum Denial {
     /// Nobody is known to ask.
-    Key(KeyRefusal),
+    Key(CredentialError),
     /// It may come back.
-    NotNow(Box<Returned>),
+    NotNow(Box<Response>),
 }
 
 impl Entry {
@@ -28,12 +28,12 @@
     pub(super) fn check_key(&self, incoming: &Incoming) -> Result<(), Denial> {
         let has_key = match &incoming.caller {
             Ok(caller) => caller.has_key(),
-            Err(refusal) => *refusal == KeyRefusal::Unknown,
+            Err(refusal) => *refusal == CredentialError::Unknown,
         };
         // A key that is not known may be new.
-        if has_key && !self.freshness.is_enough(clock::now()) {
-            let after = returns::after_outage();
-            let returned = Returned::refused(Reason::KeysOutdated).come_back(after);
+        if has_key && !self.freshness.is_fresh(clock::now()) {
+            let after = retry_after::outage();
+            let returned = Response::refused(Reason::KeysOutdated).with_retry_after(after);
             return Err(Denial::NotNow(Box::new(returned)));
         }
         match incoming.caller {
@@ -43,7 +43,7 @@
     }
 
     /// Takes a token for a request if its workspace has a limit.
-    pub(super) async fn take_token(&self, incoming: &Incoming) -> Result<Option<Token>, Returned> {
+    pub(super) async fn take_token(&self, incoming: &Incoming) -> Result<Option<Token>, Response> {
         let workspace = incoming.workspace();
         let Some(limited) = workspace.filter(|workspace| workspace.limit.is_some()) else {
             return Ok(None);
@@ -51,14 +51,14 @@
         let (reason, after) = match self.quotas.admit(&limited.name).await {
             Ok(token) => return Ok(Some(token)),
             Err(Shortage::Over(after)) => (Reason::OverQuota, after),
-            Err(Shortage::NoAllocator) => (Reason::QuotaNotKnown, returns::after_outage()),
+            Err(Shortage::NoAllocator) => (Reason::QuotaNotKnown, retry_after::outage()),
         };
-        Err(Returned::refused(reason).come_back(after))
+        Err(Response::refused(reason).with_retry_after(after))
     }
 
     /// Refuses a request of a client that comes too late to be finished before the node ends.
-    pub(super) fn refuse_late(&self, incoming: &Incoming) -> Option<Returned> {
-        let is_late = self.closed.get() && incoming.parent.is_none();
-        is_late.then(|| Returned::refused(Reason::Draining).come_back(CLOSED_RETURN))
+    pub(super) fn refuse_late(&self, incoming: &Incoming) -> Option<Response> {
+        let is_late = self.is_closed.get() && incoming.parent.is_none();
+        is_late.then(|| Response::refused(Reason::Draining).with_retry_after(CLOSED_RETURN))
     }
 }
--- a/crates/mesh/src/entry/answering.rs
+++ b/crates/mesh/src/entry/answering.rs
@@ -14,15 +14,15 @@
 use crate::body::Stream;
 use crate::clock;
 use crate::dispatch::Trail;
+use crate::entry::CredentialError;
 use crate::entry::Entry;
-use crate::entry::KeyRefusal;
 use crate::entry::answer::{Asked, Refusal, Written, conclude, refuse};
 use crate::entry::connection::Next;
 use crate::entry::exchange::{Answer, Ended};
 use crate::entry::pipeline::Pipeline;
 use crate::entry::request::Incoming;
 use crate::events::End;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// How long a client may take to accept an answer.
 const WRITE_TIME: Duration = Duration::from_secs(30);
@@ -96,7 +96,7 @@
             && next != Next::Close
             && let Some(identity) = trail.identity()
         {
-            self.entry.dispatcher.quarantine.note_good_end(&identity);
+            self.entry.dispatcher.quarantine.record_success(&identity);
         }
         next
     }
@@ -145,7 +145,7 @@
         }
     }
 
-    async fn refuse_key(&mut self, incoming: &Incoming, refusal: KeyRefusal) -> Next {
+    async fn refuse_key(&mut self, incoming: &Incoming, refusal: CredentialError) -> Next {
         let (attempt, kind) = (&incoming.attempt, &incoming.route.name);
         let version = self.entry.current.version();
         let events = &self.entry.events;
@@ -186,7 +186,7 @@
         }
     }
 
-    fn log(&self, incoming: &Incoming, returned: &Returned, trail: &Trail) {
+    fn log(&self, incoming: &Incoming, returned: &Response, trail: &Trail) {
         let refusal = Refusal::of(returned);
         let end = End {
             attempt: &incoming.attempt,
@@ -194,7 +194,7 @@
             status: refusal.map_or(returned.status, Refusal::status),
             trail,
             reason: returned.reason,
-            pressure: returned.met_pressure(),
+            pressure: returned.observed_pressure(),
             failed_below: returned.failed_below,
             workspace: incoming.workspace().map(|workspace| &workspace.name),
             version: self.entry.current.version(),
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -16,11 +16,11 @@
     BodyError, BodyRest, Framing, HeadError, MessageError, ResponseHead, response_framing,
 };
 
-use crate::body::{Body, Broken, Source, Stream};
+use crate::body::{Body, Source, Stream, Truncated};
 use crate::dialect::FieldNames;
 use crate::gate::pool::{Connection, Pool};
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::work::Work;
+use crate::request::Request;
 
 /// The most bytes of an answer's head.
 const HEAD_BYTES: usize = 64 * 1024;
@@ -98,7 +98,7 @@
 }
 
 impl Source for UpstreamSource {
-    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Broken>> {
+    fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Truncated>> {
         async {
             if let Some(first) = self.first.take() {
                 return Ok(Some(first));
@@ -106,7 +106,7 @@
             let piece = self.connection.reader.piece(&mut self.rest);
             match timeout(PIECE_TIME, piece).await {
                 Ok(Ok(piece)) => Ok(piece),
-                Ok(Err(_)) | Err(_) => Err(Broken),
+                Ok(Err(_)) | Err(_) => Err(Truncated),
             }
         }
         .boxed_local()
@@ -120,7 +120,7 @@
     pool: &Pool,
     fields: &FieldNames,
     upstream: &UpstreamKey,
-    work: &Work,
+    work: &Request,
 ) -> Result<UpstreamAnswer, ExchangeError> {
     let taken = pool.take(!work.idempotent).await;
     let mut connection = taken.map_err(ExchangeError::Connect)?;
@@ -197,7 +197,7 @@
     Ok(body.freeze())
 }
 
-fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Work) -> BytesMut {
+fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Request) -> BytesMut {
     let left = work.time_left();
     let own = format!(
         "{}: {}\r\n{}: {}\r\n\r\n",
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -18,19 +18,20 @@
 mod events;
 mod freshness;
 mod gate;
+mod gossip;
+mod incarnation;
 mod key;
-mod life;
 mod metrics;
-mod news;
 mod node;
 mod peer;
 mod quarantine;
 mod quota;
 mod ready;
 mod reload;
+mod request;
 mod retired;
 mod retry;
-mod returns;
+mod retry_after;
 mod routing;
 mod scrape;
 mod settings;
@@ -38,7 +39,6 @@
 mod store;
 mod wake;
 mod watch;
-mod work;
 
 use sailtrack_kernel::Error;
 use sailtrack_log::Destination;
@@ -47,12 +47,12 @@
     ClientLimits, Configuration, Credential, Route, RouteBuilder, ServiceRules, Share, Workspace,
     WorkspaceError, Workspaces,
 };
-pub use dialect::{Announcement, Beat, Dialect, DialectError, FieldNames, Load, Readiness};
+pub use dialect::{Announcement, Dialect, DialectError, FieldNames, Heartbeat, Load, Readiness};
 pub use key::{AttemptKey, KeyError, UpstreamKey};
 pub use node::Surroundings;
 pub use settings::{Ports, RetryBounds, Settings};
 pub use store::{
-    Content, Operation, Reading, Row, Rows, Store, StoreError, StoreTime, StoreVersion, Table,
+    Content, Lookup, Operation, Row, Rows, Store, StoreError, StoreTime, StoreVersion, Table,
 };
 
 /// Runs a node until it is stopped.
--- a/crates/mesh/src/peer/link/liveness.rs
+++ b/crates/mesh/src/peer/link/liveness.rs
@@ -16,8 +16,8 @@
 
 use crate::clock;
 use crate::peer::link::Link;
+use crate::request::Response;
 use crate::store::StoreTime;
-use crate::work::Returned;
 
 /// A node from which nothing came for this many of its intervals gets no new requests.
 const SILENT_INTERVALS: u32 = 3;
@@ -37,7 +37,8 @@
     /// After a suspension of this instance every node does, until it is heard again.
     pub(crate) fn is_silent(&self) -> bool {
         let silence = clock::now().since(self.heard.get());
-        silence > self.news.interval() * SILENT_INTERVALS || self.unanswered.get() >= SILENT_PINGS
+        silence > self.news.heartbeat_interval() * SILENT_INTERVALS
+            || self.unanswered.get() >= SILENT_PINGS
     }
 
     /// Notes that something came from the node.
@@ -53,15 +54,15 @@
             let at_most = StoreTime::from_millis(pong.store_at_most_ms);
             let era = Era(pong.store_era);
             self.news
-                .take_store_time(era, self.first_ping.get(), at_most);
+                .handle_store_time(era, self.first_ping.get(), at_most);
         }
     }
 
     /// Waits for a reply, and finds out meanwhile whether the node still works.
     pub(super) async fn await_reply(
         &self,
-        mut receiver: oneshot::Receiver<Returned>,
-    ) -> Result<Returned, oneshot::Canceled> {
+        mut receiver: oneshot::Receiver<Response>,
+    ) -> Result<Response, oneshot::Canceled> {
         loop {
             let pause = std::pin::pin!(sleep(PING_PAUSE));
             match select(&mut receiver, pause).await {
--- a/crates/mesh/src/routing/learned.rs
+++ b/crates/mesh/src/routing/statistics.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use sailtrack_placement::{Recent, Times};
+use sailtrack_placement::{Latencies, Shortlist};
 use sailtrack_units::ServiceName;
 
 /// The most services of which something is remembered, many times those of a deployment.
@@ -12,31 +12,31 @@
 
 /// What is known of one service.
 #[derive(Default)]
-pub(crate) struct Learning {
+pub(crate) struct History {
     /// How long its answers take, by kind.
-    pub(crate) times: RefCell<Times>,
+    pub(crate) times: RefCell<Latencies>,
     /// Which of its upstreams were the best lately.
-    pub(crate) recent: Recent,
+    pub(crate) recent: Shortlist,
 }
 
 /// What is known of the services.
 #[derive(Default)]
-pub(crate) struct Learned {
-    services: RefCell<HashMap<ServiceName, Rc<Learning>>>,
+pub(crate) struct Statistics {
+    services: RefCell<HashMap<ServiceName, Rc<History>>>,
 }
 
-impl Learned {
+impl Statistics {
     /// Returns what is known of a service.
-    pub(crate) fn of(&self, service: &ServiceName) -> Rc<Learning> {
+    pub(crate) fn of(&self, service: &ServiceName) -> Rc<History> {
         let mut services = self.services.borrow_mut();
-        if let Some(learning) = services.get(service) {
-            return Rc::clone(learning);
+        if let Some(history) = services.get(service) {
+            return Rc::clone(history);
         }
         if services.len() >= MOST_SERVICES {
             services.clear();
         }
-        let learning = Rc::<Learning>::default();
-        services.insert(service.clone(), Rc::clone(&learning));
-        learning
+        let history = Rc::<History>::default();
+        services.insert(service.clone(), Rc::clone(&history));
+        history
     }
 }
