--- a/crates/admission/src/breaker.rs
+++ b/crates/admission/src/breaker.rs
@@ -1,10 +1,10 @@
-//! Which kinds of requests are not begun since a service further down has no upstream.
+//! A circuit breaker for each kind of request, opened when a service that the kind calls, directly
+//! or through others, has no upstream.
 //!
-//! While a service at the bottom is out of reach, every request that needs it
-//! runs in vain at all services above, and fails where a refusal would have
-//! let its caller come back. A kind is held back after a few such ends in a
-//! row; one request at a time still tries the path, so that the kind returns
-//! as soon as the path does.
+//! While such a service is unreachable, every request that needs it wastes work in all services that
+//! it passes and then fails, where an early refusal would let the client retry. The circuit opens
+//! after a few such failures in a row. While it is open, one request at a time is let through as a
+//! probe, so that the kind recovers as soon as the service does.
 
 #[cfg(test)]
 mod tests;
@@ -15,56 +15,56 @@
 
 use sailtrack_units::KindName;
 
-/// The ends in a row for want of an upstream further down that hold a kind back. One or two may
-/// come of a node that has just left while another one takes over.
-const ENDS_TO_TRIP: u32 = 3;
-/// How often one request of the kind tries the path. It is sacrificed while the path is gone, and
-/// the kind comes back this much later than the path at most: at 20 requests a second at one gate,
-/// one in five.
-const TRIAL_PAUSE: Duration = Duration::from_millis(250);
+/// The consecutive failures for lack of an upstream that open the circuit. One or two can occur
+/// when a node has just left and another one takes over.
+const FAILURES_TO_OPEN: u32 = 3;
+/// The time between two probes. A probe fails while the service is unreachable: at 20 requests a
+/// second at one gate, that is one request in five. The kind recovers at most this long after the
+/// service does.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of the path of one kind.
+/// The circuit of one kind.
 #[derive(Debug, Clone, Copy, Default)]
-struct Path {
-    /// The latest ends in a row for want of an upstream further down.
-    absences: u32,
-    next_trial: Option<Instant>,
+struct Circuit {
+    /// Consecutive failures because a called service had no upstream.
+    failures: u32,
+    next_probe: Option<Instant>,
 }
 
-/// Which kinds of requests are not begun at this node.
+/// The circuit breakers of all kinds of requests that start at this node.
 #[derive(Debug, Default)]
 pub(crate) struct Breaker {
-    paths: RefCell<HashMap<KindName, Path>>,
+    circuits: RefCell<HashMap<KindName, Circuit>>,
 }
 
 impl Breaker {
-    /// Returns true if a request of the kind may begin; while it is held back, that is a trial.
-    pub(crate) fn lets_in(&self, kind: &KindName, now: Instant) -> bool {
-        let mut paths = self.paths.borrow_mut();
-        let Some(path) = paths.get_mut(kind) else {
+    /// Returns true if a request of the kind may start; while the circuit is open, as a probe.
+    pub(crate) fn allows(&self, kind: &KindName, now: Instant) -> bool {
+        let mut circuits = self.circuits.borrow_mut();
+        let Some(circuit) = circuits.get_mut(kind) else {
             return true;
         };
-        if path.absences < ENDS_TO_TRIP {
+        if circuit.failures < FAILURES_TO_OPEN {
             return true;
         }
-        if path.next_trial.is_some_and(|next| now < next) {
+        if circuit.next_probe.is_some_and(|next| now < next) {
             return false;
         }
-        path.next_trial = Some(now + TRIAL_PAUSE);
+        circuit.next_probe = Some(now + PROBE_INTERVAL);
         true
     }
 
-    /// Notes that a request of the kind ended, and whether for want of an upstream further down.
+    /// Records that a request of the kind ended, and whether a called service had no upstream.
     pub(crate) fn record(&self, kind: &KindName, now: Instant, no_upstream: bool) {
-        let mut paths = self.paths.borrow_mut();
+        let mut circuits = self.circuits.borrow_mut();
         if !no_upstream {
-            paths.remove(kind);
+            circuits.remove(kind);
             return;
         }
-        let path = paths.entry(kind.clone()).or_default();
-        path.absences = path.absences.saturating_add(1);
-        if path.absences == ENDS_TO_TRIP {
-            path.next_trial = Some(now + TRIAL_PAUSE);
+        let circuit = circuits.entry(kind.clone()).or_default();
+        circuit.failures = circuit.failures.saturating_add(1);
+        if circuit.failures == FAILURES_TO_OPEN {
+            circuit.next_probe = Some(now + PROBE_INTERVAL);
         }
     }
 }
--- a/crates/admission/src/breaker/tests.rs
+++ b/crates/admission/src/breaker/tests.rs
@@ -1,20 +1,20 @@
-//! When a kind is held back, and when it comes back.
+//! When the circuit of a kind opens, probes and closes.
 
 use std::time::{Duration, Instant};
 
 use sailtrack_units::KindName;
 
-use crate::breaker::{Breaker, ENDS_TO_TRIP, TRIAL_PAUSE};
+use crate::breaker::{Breaker, FAILURES_TO_OPEN, PROBE_INTERVAL};
 
 fn kind() -> KindName {
-    "lookup".parse().expect("a name")
+    "lookup".parse().expect("valid name")
 }
 
-/// Returns a breaker that has just held the kind back.
-fn tripped(now: Instant) -> Breaker {
+/// Returns a breaker whose circuit for the kind has just opened.
+fn opened(now: Instant) -> Breaker {
     let breaker = Breaker::default();
-    for _ in 0..ENDS_TO_TRIP {
-        assert!(breaker.lets_in(&kind(), now));
+    for _ in 0..FAILURES_TO_OPEN {
+        assert!(breaker.allows(&kind(), now));
         breaker.record(&kind(), now, true);
     }
     breaker
@@ -24,10 +24,10 @@
 fn few_absences_pass() {
     let (breaker, now) = (Breaker::default(), Instant::now());
     for _ in 0..10 {
-        for _ in 1..ENDS_TO_TRIP {
+        for _ in 1..FAILURES_TO_OPEN {
             breaker.record(&kind(), now, true);
         }
-        assert!(breaker.lets_in(&kind(), now));
+        assert!(breaker.allows(&kind(), now));
         breaker.record(&kind(), now, false);
     }
 }
@@ -35,31 +35,31 @@
 #[test]
 fn one_trial_at_a_time() {
     let now = Instant::now();
-    let breaker = tripped(now);
-    assert!(!breaker.lets_in(&kind(), now));
-    let later = now + TRIAL_PAUSE;
-    assert!(breaker.lets_in(&kind(), later), "a trial");
-    assert!(!breaker.lets_in(&kind(), later), "one only");
+    let breaker = opened(now);
+    assert!(!breaker.allows(&kind(), now));
+    let later = now + PROBE_INTERVAL;
+    assert!(breaker.allows(&kind(), later), "a probe");
+    assert!(!breaker.allows(&kind(), later), "only one");
     breaker.record(&kind(), later + Duration::from_millis(20), true);
-    assert!(!breaker.lets_in(&kind(), later + Duration::from_millis(30)));
-    assert!(breaker.lets_in(&kind(), later + TRIAL_PAUSE));
+    assert!(!breaker.allows(&kind(), later + Duration::from_millis(30)));
+    assert!(breaker.allows(&kind(), later + PROBE_INTERVAL));
 }
 
-/// The first request that gets through lets all others in at once.
+/// One successful request closes the circuit.
 #[test]
 fn path_is_back() {
     let now = Instant::now();
-    let breaker = tripped(now);
+    let breaker = opened(now);
     breaker.record(&kind(), now, false);
     for _ in 0..100 {
-        assert!(breaker.lets_in(&kind(), now));
+        assert!(breaker.allows(&kind(), now));
     }
 }
 
 #[test]
 fn kinds_stand_alone() {
     let now = Instant::now();
-    let breaker = tripped(now);
-    let other = "capture".parse().expect("a name");
-    assert!(breaker.lets_in(&other, now));
+    let breaker = opened(now);
+    let other = "capture".parse().expect("valid name");
+    assert!(breaker.allows(&other, now));
 }
--- a/crates/admission/src/throttle.rs
+++ b/crates/admission/src/throttle.rs
@@ -1,4 +1,5 @@
-//! Whether a request of a client may begin here, judged by what others of its kind have met.
+//! Decides whether a client request may start, from how earlier requests of its kind fared in the
+//! services that they call.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -9,23 +10,24 @@
 use crate::pressure::Pressure;
 use crate::window::{Permit as WindowPermit, Windows};
 
-/// Why a request does not begin.
+/// Why a request may not start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// As many requests of the kind are in progress as what they call can take.
+    /// The window of the kind is full: the called services cannot take more requests of it.
     Window,
-    /// A service further down has no upstream.
+    /// The circuit breaker of the kind is open: a called service has no upstream.
     Breaker,
 }
 
-/// Whether requests of clients may begin at one node.
+/// Decides which client requests may start at one node, by the window and the circuit breaker of
+/// their kind.
 pub struct Throttle {
     windows: Rc<Windows>,
     breaker: Breaker,
 }
 
 impl Throttle {
-    /// Returns an outset over these windows.
+    /// Returns a throttle that uses these windows.
     #[must_use]
     pub fn new(windows: Rc<Windows>) -> Rc<Self> {
         Rc::new(Self {
@@ -34,13 +36,13 @@
         })
     }
 
-    /// Takes a place for a request of this kind.
+    /// Acquires a permit for a request of this kind.
     ///
     /// # Errors
     ///
-    /// The request is not to begin now, and why.
+    /// The reason why the request may not start now.
     pub fn acquire(self: &Rc<Self>, kind: &KindName, now: Instant) -> Result<Permit, Rejection> {
-        if !self.breaker.lets_in(kind, now) {
+        if !self.breaker.allows(kind, now) {
             return Err(Rejection::Breaker);
         }
         let window = self.windows.acquire(kind, now).ok_or(Rejection::Window)?;
@@ -52,18 +54,18 @@
     }
 }
 
-/// What a request has met until it ended.
+/// What a request observed by the time it ended.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Feedback {
-    /// How full its own upstream is.
+    /// The pressure on the upstream of this node.
     pub local: Pressure,
-    /// The greatest pressure that its calls met.
+    /// The maximum pressure that its nested calls met.
     pub callees: Pressure,
-    /// It failed since a service further down has no upstream.
+    /// Whether the request failed because a called service had no upstream.
     pub no_upstream: bool,
 }
 
-/// The place of one request that has begun.
+/// Permission for one request to run, released when dropped.
 pub struct Permit {
     throttle: Rc<Throttle>,
     kind: KindName,
@@ -71,11 +73,11 @@
 }
 
 impl Permit {
-    /// Notes what the request has met.
+    /// Records what the request observed.
     ///
-    /// The pressure at its own upstream counts like that of its calls. Without it a kind that
-    /// calls nobody is held by the queue alone, keeps it full, and the windows of all kinds that
-    /// call the same service from further up close.
+    /// The pressure on the local upstream counts like that on called services. Otherwise a kind that
+    /// makes no nested calls would be limited by the admission queue alone and keep it full, and the
+    /// windows of all kinds that call this service from elsewhere would close.
     pub fn record(&self, now: Instant, feedback: Feedback) {
         self.window
             .record(now, feedback.callees.max(feedback.local));
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -1,10 +1,9 @@
-//! How many requests of each kind may be in progress at once, judged by the pressure they meet further down.
+//! Admission windows: how many root requests of each kind may be in progress at once.
 //!
-//! A request that waits for a service further down holds a slot here. So the
-//! window of its kind follows the pressure that its calls meet: it shrinks or
-//! grows until that pressure is near its aim, and the slots are left to kinds
-//! that can complete. Pressure is told for each importance, so the kinds that
-//! matter less give way first.
+//! A request that waits for an overloaded service further along its call chain holds a slot here. So
+//! the window of its kind shrinks or grows until the pressure that its nested calls meet is near a
+//! target, which leaves the slots to kinds that can complete. Pressure is reported per importance,
+//! so the windows of less important kinds shrink first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,40 +15,44 @@
 
 use crate::pressure::Pressure;
 
-/// The pressure that a window aims at: a quarter of the slots' calls wait.
-const AIM: f64 = 1.25;
-/// The share of the way to its aim that a window goes at once.
+/// The target pressure: the limit is reached, and a quarter as many calls are queued.
+const TARGET: f64 = 1.25;
+/// How much of the deviation from the target one round corrects, as an exponent: 1 corrects all of
+/// it.
 const GAIN: f64 = 0.6;
-/// The smallest window: one request in the time of ten.
-const SMALLEST: f64 = 0.1;
-/// What is added to a window that may grow, so that a small one grows at all.
-const PROBE: f64 = 0.25;
-/// The least and the greatest factor by which a window changes at once.
-const FACTORS: (f64, f64) = (0.5, 4.0);
-/// The shortest time after which a window is judged.
-const SHORTEST_ROUND: Duration = Duration::from_millis(100);
-/// The fewest requests by which a window is judged; one is enough for a window below one place.
+/// The minimum window: on average a tenth of a request in progress, which is enforced by spacing
+/// requests out.
+const MIN_SIZE: f64 = 0.1;
+/// The additive increase of a window that may grow; without it a small one would hardly grow.
+const ADDITIVE_STEP: f64 = 0.25;
+/// The minimum and the maximum factor by which a window changes in one round.
+const FACTOR_RANGE: (f64, f64) = (0.5, 4.0);
+/// The minimum length of a round; the window is adjusted at the end of each.
+const MIN_ROUND: Duration = Duration::from_millis(100);
+/// The minimum number of requests in a round; for a window below one request, one is enough.
 const MIN_SAMPLES: u32 = 3;
-/// A window this much larger than what is in progress is open again.
+/// A window becomes unlimited again once it exceeds the peak number of requests in progress by this
+/// factor plus `OPEN_MARGIN`.
 const OPEN_FACTOR: f64 = 4.0;
-/// The requests that are allowed for beyond that.
+/// The margin beyond `OPEN_FACTOR`, in requests.
 const OPEN_MARGIN: f64 = 8.0;
-/// The part of the slots that a window begins with where all nodes were started lately, and the
-/// least. Every round in which the path has room more than doubles it.
+/// The initial window while the node ramps up after a start of all nodes, as a share of its slots.
+/// Every round in which the called services have capacity more than doubles it.
 const START_SHARE: f64 = 1.0 / 6.0;
-const SMALLEST_START: f64 = 4.0;
-/// How long windows begin so.
-const START_TIME: Duration = Duration::from_secs(3);
-/// The weight of the newest request in the average of their times.
-const NEWEST_WEIGHT: f64 = 0.1;
-
-/// What the requests that ended in one stretch of time have met.
+/// The minimum initial window while the node ramps up.
+const MIN_START_SIZE: f64 = 4.0;
+/// How long new windows get this initial size.
+const START_DURATION: Duration = Duration::from_secs(3);
+/// The weight of the newest request in the moving average of their durations.
+const TIME_WEIGHT: f64 = 0.1;
+
+/// The pressure that the requests which ended in one round met.
 #[derive(Debug, Clone, Copy)]
 struct Round {
     started: Instant,
     samples: u32,
     pressure: f64,
-    /// The most requests that were in progress at once.
+    /// The maximum number of requests in progress at once.
     peak: u32,
 }
 
@@ -71,12 +74,12 @@
 /// The window of one kind.
 #[derive(Debug, Clone, Copy)]
 struct Window {
-    /// Nothing while it is open.
+    /// The maximum number of requests in progress; `None` is unlimited.
     size: Option<f64>,
     in_progress: u32,
-    /// When the latest request entered.
-    entered: Option<Instant>,
-    /// How many seconds a request takes, on average.
+    /// When the last request started.
+    last_start: Option<Instant>,
+    /// The average duration of a request, in seconds.
     time: f64,
     round: Round,
 }
@@ -86,13 +89,14 @@
         Self {
             size,
             in_progress: 0,
-            entered: None,
+            last_start: None,
             time: 0.0,
             round: Round::open(now, 0),
         }
     }
 
-    /// Returns true if no request may enter; below one place they enter at a distance in time.
+    /// Returns true if no request may start. A window below one request enforces a minimum interval
+    /// between starts instead.
     fn is_full(&self, now: Instant) -> bool {
         let Some(size) = self.size else {
             return false;
@@ -100,65 +104,67 @@
         if size >= 1.0 {
             return f64::from(self.in_progress) + 1.0 > size;
         }
-        let distance = Duration::from_secs_f64(self.time / size);
-        let too_soon = self.entered.is_some_and(|entered| now - entered < distance);
+        let interval = Duration::from_secs_f64(self.time / size);
+        let too_soon = self
+            .last_start
+            .is_some_and(|last_start| now - last_start < interval);
         self.in_progress > 0 || too_soon
     }
 
     fn acquire(&mut self, now: Instant) {
         self.in_progress += 1;
-        self.entered = Some(now);
+        self.last_start = Some(now);
         self.round.peak = self.round.peak.max(self.in_progress);
     }
 
     fn record(&mut self, now: Instant, time: Duration, pressure: Pressure) {
         let time = time.as_secs_f64();
         let known = if self.time > 0.0 { self.time } else { time };
-        self.time = known + (time - known) * NEWEST_WEIGHT;
+        self.time = known + (time - known) * TIME_WEIGHT;
         self.round.samples += 1;
         self.round.pressure += pressure.0;
         let age = now.saturating_duration_since(self.round.started);
-        let long_enough = age >= SHORTEST_ROUND && age.as_secs_f64() >= self.time;
+        let long_enough = age >= MIN_ROUND && age.as_secs_f64() >= self.time;
         let is_small = self.size.is_some_and(|size| size < 1.0);
         if long_enough && (is_small || self.round.samples >= MIN_SAMPLES) {
-            self.judge();
+            self.evaluate();
             self.round = Round::open(now, self.in_progress);
         }
     }
 
-    fn judge(&mut self) {
+    fn evaluate(&mut self) {
         let pressure = self.round.mean();
         let peak = f64::from(self.round.peak);
         let Some(size) = self.size else {
-            if pressure > AIM {
-                self.size = Some(shrunk(peak, pressure));
+            if pressure > TARGET {
+                self.size = Some(shrink(peak, pressure));
             }
             return;
         };
-        let size = if pressure > AIM {
-            shrunk(size.min(peak.max(1.0)), pressure)
+        let size = if pressure > TARGET {
+            shrink(size.min(peak.max(1.0)), pressure)
         } else {
-            size * (AIM / pressure.max(AIM / FACTORS.1)).powf(GAIN) + PROBE
+            size * (TARGET / pressure.max(TARGET / FACTOR_RANGE.1)).powf(GAIN) + ADDITIVE_STEP
         };
         let is_open = size > peak * OPEN_FACTOR + OPEN_MARGIN;
         self.size = (!is_open).then_some(size);
     }
 }
 
-/// Returns the size of a window that met more pressure than it aims at.
-fn shrunk(size: f64, pressure: f64) -> f64 {
-    let factor = (AIM / pressure).powf(GAIN).max(FACTORS.0);
-    (size * factor).max(SMALLEST)
+/// Returns the new size of a window whose pressure was above the target.
+fn shrink(size: f64, pressure: f64) -> f64 {
+    let factor = (TARGET / pressure).powf(GAIN).max(FACTOR_RANGE.0);
+    (size * factor).max(MIN_SIZE)
 }
 
-/// The windows of all kinds of root requests that begin on this node.
+/// The windows of all kinds of root requests that start at this node.
 #[derive(Default)]
 pub struct Windows {
     windows: RefCell<HashMap<KindName, Window>>,
     start: Cell<Option<Start>>,
 }
 
-/// How windows begin for a while.
+/// The initial size of windows while the node ramps up.
 #[derive(Debug, Clone, Copy)]
 struct Start {
     size: f64,
@@ -170,15 +176,15 @@
 }
 
 impl Windows {
-    /// Lets the windows begin small, as the upstream has just come.
+    /// Makes all windows start small, because the upstream has just come up.
     ///
-    /// After all nodes were away at once their clients come back at once; with open windows far
-    /// more would begin than the services further down can finish.
+    /// After an outage of all nodes their clients come back at the same time; with unlimited windows
+    /// far more requests would start than the called services can finish.
     pub fn ramp_up(&self, now: Instant, slots: u32) {
-        let size = (f64::from(slots) * START_SHARE).max(SMALLEST_START);
+        let size = (f64::from(slots) * START_SHARE).max(MIN_START_SIZE);
         self.start.set(Some(Start {
             size,
-            until: now + START_TIME,
+            until: now + START_DURATION,
         }));
         for window in self.windows.borrow_mut().values_mut() {
             let present = window.size.unwrap_or(size);
@@ -186,7 +192,7 @@
         }
     }
 
-    /// Lets the windows begin open again.
+    /// Ends the ramp-up and removes the limit from all windows.
     pub fn end_ramp_up(&self) {
         self.start.set(None);
         for window in self.windows.borrow_mut().values_mut() {
@@ -194,7 +200,7 @@
         }
     }
 
-    /// Takes a place for a request, or nothing if as many are in progress as may be.
+    /// Acquires a permit for a request; returns nothing if the window of its kind is full.
     pub fn acquire(self: &Rc<Self>, kind: &KindName, now: Instant) -> Option<Permit> {
         let start = self.start.get().filter(|start| now < start.until);
         let size = start.map(|start| start.size);
@@ -209,22 +215,22 @@
         Some(Permit {
             windows: Rc::clone(self),
             kind: kind.clone(),
-            entered: now,
+            started: now,
         })
     }
 }
 
-/// The place of one request in the window of its kind.
+/// Permission for one request to be in progress in the window of its kind, released when dropped.
 pub struct Permit {
     windows: Rc<Windows>,
     kind: KindName,
-    entered: Instant,
+    started: Instant,
 }
 
 impl Permit {
-    /// Notes that the request ran, and the greatest pressure that it met further down.
+    /// Records that the request ran, and the maximum pressure that its nested calls met.
     pub fn record(&self, now: Instant, pressure: Pressure) {
-        let time = now.saturating_duration_since(self.entered);
+        let time = now.saturating_duration_since(self.started);
         if let Some(window) = self.windows.windows.borrow_mut().get_mut(&self.kind) {
             window.record(now, time, pressure);
         }
