--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -1,11 +1,11 @@
-//! What operators set about admission.
+//! The configuration of admission control.
 
 use std::str::FromStr;
 
 use displaydoc::Display;
 use sailtrack_units::Period;
 
-/// How a node decides; the two others are baselines to compare with.
+/// How a node decides which calls to admit; `forward` and `fixed` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Policy {
     /// forward
@@ -33,17 +33,17 @@
     }
 }
 
-/// What operators set about admission.
+/// The configuration of admission control.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// How the node decides.
+    /// The admission policy.
     pub policy: Policy,
-    /// The limit of the fixed policy.
+    /// The concurrency limit of the fixed policy.
     pub fixed_limit: u32,
-    /// The longest time that a call waits for admission.
+    /// The maximum time that a call waits for admission.
     pub queue_time: Period,
-    /// The same for a call that belongs to a request in progress, of which work would be lost.
+    /// The same for a nested call: refusing it wastes the work already done for its root request.
     pub nested_queue_time: Period,
-    /// How long a new upstream is ramped up.
+    /// The duration of the slow start of a new upstream.
     pub warm_up: Period,
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,4 +1,5 @@
-//! Decides which calls the own upstream gets, and when.
+//! Admission control for the upstream of this node: an adaptive concurrency limit, a priority queue
+//! in front of it, and load shedding by rank.
 
 mod breaker;
 mod config;
@@ -6,7 +7,7 @@
 mod limit;
 mod pressure;
 mod queue;
-mod returns;
+mod refusal;
 #[cfg(test)]
 mod tests;
 mod throttle;
@@ -26,34 +27,34 @@
 
 use level::Level;
 use limit::Limit;
-use queue::{Place, Queue, Verdict};
-use returns::Returns;
+use queue::{Key, Outcome, Queue};
+use refusal::Ratio;
 
 pub use config::{Config, Policy, PolicyError};
 pub use pressure::Pressure;
 pub use throttle::{Feedback, Permit as ThrottlePermit, Rejection, Throttle};
 pub use window::{Permit as WindowPermit, Windows};
 
-/// The weight of the newest sample in the average of the upstream's own time.
-const NEWEST_WEIGHT: f64 = 0.05;
-/// The spread of returns when as many calls are refused as admitted, and the least.
-const SPREAD_UNIT: Duration = Duration::from_secs(1);
-/// The greatest spread of returns.
-const LONGEST_SPREAD: Duration = Duration::from_secs(15);
-/// The shortest time of a call that is reckoned with, in seconds.
-const SHORTEST_OWN_TIME: f64 = 0.001;
-/// How long after a call from further up an upstream counts as shared with those who call it: where
-/// it is, dozens of them come in that time.
-const SHARED_TIME: Duration = Duration::from_secs(1);
-/// The most calls that may wait.
+/// The weight of the newest sample in the moving average of the self time.
+const SELF_TIME_WEIGHT: f64 = 0.05;
+/// The retry spread when as many calls are refused as admitted; also its minimum.
+const BASE_SPREAD: Duration = Duration::from_secs(1);
+/// The maximum retry spread.
+const MAX_SPREAD: Duration = Duration::from_secs(15);
+/// The minimum self time assumed when sizing the queue, in seconds.
+const MIN_SELF_TIME_S: f64 = 0.001;
+/// How long after a nested call the upstream counts as shared with its callers: a shared upstream
+/// gets dozens of nested calls in this time.
+const SHARED_WINDOW: Duration = Duration::from_secs(1);
+/// The maximum capacity of the queue, in calls.
 const MAX_QUEUE: usize = 1000;
-/// The fewest calls that may wait.
+/// The minimum capacity of the queue, in calls.
 const MIN_QUEUE: usize = 4;
 
-/// Tells the time; a load model passes its own.
+/// The time source; simulations pass their own.
 pub type Clock = fn() -> Instant;
 
-/// Who may enter the own upstream.
+/// Admits calls to the upstream of this node, queues them or refuses them.
 pub struct Admission {
     config: Config,
     clock: Clock,
@@ -66,10 +67,10 @@
     declared: DeclaredLimit,
     queue: Queue,
     level: Level,
-    returns: Returns,
+    refusal_ratio: Ratio,
     self_time: Option<f64>,
-    /// When a call came last that was made for a request further up.
-    called: Option<Instant>,
+    /// When the last nested call arrived.
+    last_nested: Option<Instant>,
     shedding: bool,
     logged_limit: usize,
 }
@@ -79,13 +80,13 @@
 }
 
 impl Admission {
-    /// Returns an admission that knows nothing of its upstream yet.
+    /// Returns an admission controller for an upstream of which nothing is known yet.
     #[must_use]
     pub fn new(config: Config, now: Instant) -> Self {
         Self::with_clock(config, Instant::now, now)
     }
 
-    /// Returns the same under a clock that is not that of the machine.
+    /// Like [`Admission::new`], with another time source than the system clock.
     #[must_use]
     pub fn with_clock(config: Config, clock: Clock, now: Instant) -> Self {
         Self {
@@ -96,9 +97,9 @@
                 declared: DeclaredLimit::Auto,
                 queue: Queue::default(),
                 level: Level::new(now),
-                returns: Returns::new(now),
+                refusal_ratio: Ratio::new(now),
                 self_time: None,
-                called: None,
+                last_nested: None,
                 shedding: false,
                 logged_limit: 0,
             }),
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Starts anew for an upstream that has just announced itself.
+    /// Resets the limit and the self time for an upstream that has just announced itself.
     pub fn reset(&self, now: Instant, slots: Option<u32>) {
         let mut state = self.state.borrow_mut();
         state.limit = Limit::new(now, slots);
@@ -114,12 +115,12 @@
         state.self_time = None;
     }
 
-    /// Puts the limit into force that operators declared.
+    /// Applies the limit that operators declared.
     pub fn declare_limit(&self, limit: DeclaredLimit) {
         self.state.borrow_mut().declared = limit;
     }
 
-    /// Returns how many calls may be in the upstream at once.
+    /// Returns the concurrency limit: how many calls may be in flight in the upstream.
     pub fn limit(&self, now: Instant) -> usize {
         let state = self.state.borrow();
         match (self.config.policy, state.declared) {
@@ -130,12 +131,12 @@
         }
     }
 
-    /// Returns how many calls are in the upstream.
+    /// Returns how many calls are in flight in the upstream.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Returns true if the upstream is at most half full.
+    /// Returns true if at most half of the limit is in use.
     pub fn is_lightly_loaded(&self, now: Instant) -> bool {
         self.in_flight() <= self.limit(now) / 2
     }
@@ -145,19 +146,21 @@
         self.state.borrow().queue.len()
     }
 
-    /// Returns how full the upstream is for calls of this class.
+    /// Returns the pressure on the upstream as calls of this class see it.
     ///
-    /// Calls that matter less give way in the queue, so they do not count there.
+    /// Queued calls of lower classes are left out, as they are displaced when the queue is full.
     pub fn pressure(&self, now: Instant, class: impl Into<Class>) -> Pressure {
-        let waiting = self.state.borrow().queue.len_from(class.into());
+        let waiting = self.state.borrow().queue.len_at_least(class.into());
         Pressure::of(self.in_flight() + waiting, self.limit(now))
     }
 
-    /// Returns how full the upstream is for requests that clients bring to it directly, as far as
-    /// they have to leave room: nothing while nobody calls it from further up.
+    /// Returns the pressure that throttles requests which clients send to this upstream directly.
+    ///
+    /// It is zero unless other services call this upstream too: only then do direct requests have
+    /// to leave room.
     pub fn shared_pressure(&self, now: Instant, class: impl Into<Class>) -> Pressure {
-        let called = self.state.borrow().called;
-        let is_shared = called.is_some_and(|called| now - called < SHARED_TIME);
+        let last_nested = self.state.borrow().last_nested;
+        let is_shared = last_nested.is_some_and(|last_nested| now - last_nested < SHARED_WINDOW);
         if is_shared {
             self.pressure(now, class)
         } else {
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Returns the rank that is admitted at present.
+    /// Returns the lowest rank that is currently admitted.
     pub fn level(&self, now: Instant) -> Rank {
         if self.config.policy != Policy::Adaptive {
             return Rank::LOWEST;
@@ -173,69 +176,75 @@
         self.state.borrow_mut().level.current(now)
     }
 
-    /// Returns the time that the upstream itself takes for a call, on average.
+    /// Returns the average time that a call takes in the upstream, without its nested calls.
     pub fn self_time(&self) -> Duration {
         let seconds = self.state.borrow().self_time.unwrap_or_default();
         Duration::from_secs_f64(seconds)
     }
 
-    /// Returns over how much time the returns of refused callers are spread.
+    /// Returns the period over which the retries of refused callers are to be spread.
     ///
-    /// It grows with the number of calls refused for each one admitted.
+    /// It grows with the number of calls refused for each admitted one.
     pub fn retry_spread(&self, now: Instant) -> Duration {
-        let share = self.state.borrow_mut().returns.refused_per_admitted(now);
-        SPREAD_UNIT
-            .mul_f64(share)
-            .clamp(SPREAD_UNIT, LONGEST_SPREAD)
+        let ratio = self
+            .state
+            .borrow_mut()
+            .refusal_ratio
+            .refused_per_admitted(now);
+        BASE_SPREAD.mul_f64(ratio).clamp(BASE_SPREAD, MAX_SPREAD)
     }
 
-    /// Waits for admission; `begun` says that the root request has run elsewhere already.
+    /// Waits for admission; `nested` says that the root request already runs in another service.
     pub async fn enter(
         self: &Rc<Self>,
         rank: Rank,
-        begun: bool,
+        nested: bool,
         time_left: Duration,
     ) -> Result<Permit, Reason> {
         let class = rank.importance().into();
-        self.enter_in_class(class, rank, begun, time_left).await
+        self.enter_in_class(class, rank, nested, time_left).await
     }
 
-    /// Waits for admission in a class of its own, where workspaces decide before kinds.
+    /// Waits for admission in a given class, in which the importance of the workspace comes before
+    /// that of the kind.
     pub async fn enter_in_class(
         self: &Rc<Self>,
         class: Class,
         rank: Rank,
-        begun: bool,
+        nested: bool,
         time_left: Duration,
     ) -> Result<Permit, Reason> {
-        match self.submit_in_class((class, rank), begun, time_left) {
+        match self.submit_in_class((class, rank), nested, time_left) {
             Decision::Admitted(permit) => Ok(permit),
             Decision::Refused(reason) => Err(reason),
             Decision::Waiting(mut waiting) => {
-                let verdict = timeout(waiting.max_wait, &mut waiting.verdict).await;
-                waiting.conclude(verdict.ok().and_then(Result::ok))
+                let outcome = timeout(waiting.max_wait, &mut waiting.outcome).await;
+                waiting.resolve(outcome.ok().and_then(Result::ok))
             }
         }
     }
 
-    /// Decides about a call at once: it may run, has to wait, or is refused.
-    pub fn submit(self: &Rc<Self>, rank: Rank, begun: bool, time_left: Duration) -> Decision {
-        self.submit_in_class((rank.importance().into(), rank), begun, time_left)
+    /// Decides at once whether a call may run, has to wait or is refused.
+    pub fn submit(self: &Rc<Self>, rank: Rank, nested: bool, time_left: Duration) -> Decision {
+        self.submit_in_class((rank.importance().into(), rank), nested, time_left)
     }
 
     fn submit_in_class(
         self: &Rc<Self>,
-        place: (Class, Rank),
-        begun: bool,
+        priority: (Class, Rank),
+        nested: bool,
         time_left: Duration,
     ) -> Decision {
         let now = (self.clock)();
         let limit = self.limit(now);
-        if begun {
-            self.state.borrow_mut().called = Some(now);
+        if nested {
+            self.state.borrow_mut().last_nested = Some(now);
         }
         if self.config.policy == Policy::Adaptive {
-            self.state.borrow_mut().level.record_arrival(now, place.1);
+            self.state
+                .borrow_mut()
+                .level
+                .record_arrival(now, priority.1);
         }
         if self.in_flight() < limit && self.waiting() == 0 {
             self.record_decision(true);
@@ -243,7 +252,7 @@
         }
         self.record_saturation();
         let waiting = match self.config.policy {
-            Policy::Adaptive => self.wait(place, begun, limit, time_left),
+            Policy::Adaptive => self.enqueue(priority, nested, limit, time_left),
             Policy::Forward | Policy::Fixed => Err(Reason::Overload),
         };
         match waiting {
@@ -261,37 +270,41 @@
         state.level.record_saturation();
     }
 
-    fn wait(
+    fn enqueue(
         self: &Rc<Self>,
-        place: (Class, Rank),
-        begun: bool,
+        priority: (Class, Rank),
+        nested: bool,
         limit: usize,
         time_left: Duration,
     ) -> Result<Waiting, Reason> {
-        let max_wait = self.max_wait(begun, time_left)?;
+        let max_wait = self.max_wait(nested, time_left)?;
         let capacity = self.queue_capacity(limit, max_wait);
-        let entered = self.state.borrow_mut().queue.push(place, begun, capacity);
-        let Some((place, verdict)) = entered else {
+        let queued = self
+            .state
+            .borrow_mut()
+            .queue
+            .push(priority, nested, capacity);
+        let Some((key, outcome)) = queued else {
             return Err(Reason::Overload);
         };
         Ok(Waiting {
             admission: Rc::clone(self),
-            place,
-            verdict,
+            key,
+            outcome,
             max_wait,
         })
     }
 
-    /// Returns how long a call may wait and still be finished in its time.
+    /// Returns how long a call may wait and still finish before its deadline.
     ///
-    /// Refusing a call that belongs to a request in progress throws away what was
-    /// done for it, so such a call waits longer.
-    fn max_wait(&self, begun: bool, time_left: Duration) -> Result<Duration, Reason> {
+    /// A nested call may wait longer: refusing it wastes the work already done for its root
+    /// request.
+    fn max_wait(&self, nested: bool, time_left: Duration) -> Result<Duration, Reason> {
         let spare = time_left.saturating_sub(self.self_time());
         if spare.is_zero() {
             return Err(Reason::Deadline);
         }
-        let max_wait = if begun {
+        let max_wait = if nested {
             self.config.nested_queue_time.0
         } else {
             self.config.queue_time.0
@@ -299,9 +312,9 @@
         Ok((spare / 2).min(max_wait))
     }
 
-    /// Returns how many calls can be served in the longest time that one waits.
+    /// Returns how many calls can be served within the maximum wait of one.
     fn queue_capacity(&self, limit: usize, max_wait: Duration) -> usize {
-        let self_time = self.self_time().as_secs_f64().max(SHORTEST_OWN_TIME);
+        let self_time = self.self_time().as_secs_f64().max(MIN_SELF_TIME_S);
         let turns = max_wait.as_secs_f64() / self_time;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let turns = turns.ceil() as usize;
@@ -310,10 +323,10 @@
 
     fn permit(self: &Rc<Self>) -> Permit {
         self.in_flight.set(self.in_flight() + 1);
-        self.take_reserved()
+        self.reserved_permit()
     }
 
-    fn take_reserved(self: &Rc<Self>) -> Permit {
+    fn reserved_permit(self: &Rc<Self>) -> Permit {
         Permit {
             admission: Rc::clone(self),
         }
@@ -322,7 +335,7 @@
     fn record_decision(&self, admitted: bool) {
         let mut state = self.state.borrow_mut();
         let now = (self.clock)();
-        state.returns.record(now, admitted);
+        state.refusal_ratio.record(now, admitted);
         if admitted {
             return;
         }
@@ -334,9 +347,9 @@
         }
     }
 
-    /// Notes a call that the upstream completed in `own_time` of its own.
+    /// Records a call that completed with this self time.
     ///
-    /// `light` says that it found the upstream at most half full.
+    /// `lightly_loaded` says that at most half of the limit was in use when it arrived.
     pub fn record_completion(
         &self,
         now: Instant,
@@ -350,28 +363,29 @@
             .record_completion(now, kind, self_time, lightly_loaded);
         let sample = self_time.as_secs_f64();
         let average = state.self_time.unwrap_or(sample);
-        state.self_time = Some(average + (sample - average) * NEWEST_WEIGHT);
+        state.self_time = Some(average + (sample - average) * SELF_TIME_WEIGHT);
         state.log_changes(now);
     }
 
-    /// Notes that the upstream shed a call.
+    /// Records that the upstream itself shed a call.
     pub fn record_shed(&self, now: Instant) {
         let in_flight = self.in_flight();
         self.state.borrow_mut().limit.record_shed(now, in_flight);
     }
 
-    /// Lets waiting calls in as far as the limit allows; each takes its place at once.
+    /// Admits waiting calls up to the limit; each counts as in flight from here on, before its task
+    /// wakes up.
     fn admit_waiting(&self) {
         let limit = self.limit((self.clock)());
         while self.in_flight() < limit {
-            if !self.state.borrow_mut().queue.admit_first() {
+            if !self.state.borrow_mut().queue.admit_next() {
                 return;
             }
             self.in_flight.set(self.in_flight() + 1);
         }
     }
 
-    fn leave(&self) {
+    fn release(&self) {
         self.in_flight.set(self.in_flight() - 1);
         self.admit_waiting();
     }
@@ -395,63 +409,63 @@
     }
 }
 
-/// The right of one call to be in the upstream, given back when it is dropped.
+/// Permission for one call to run in the upstream, released when dropped.
 pub struct Permit {
     admission: Rc<Admission>,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.admission.leave();
+        self.admission.release();
     }
 }
 
-/// What is decided about a call when it asks for admission.
+/// The admission decision on a call.
 pub enum Decision {
-    /// It may run.
+    /// The call may run.
     Admitted(Permit),
-    /// It waits for a place.
+    /// The call waits in the queue.
     Waiting(Waiting),
-    /// It is refused.
+    /// The call is refused.
     Refused(Reason),
 }
 
-/// A waiting call, taken out of the queue if it stops waiting.
+/// A queued call, removed from the queue when dropped.
 pub struct Waiting {
     admission: Rc<Admission>,
-    place: Place,
-    verdict: oneshot::Receiver<Verdict>,
+    key: Key,
+    outcome: oneshot::Receiver<Outcome>,
     max_wait: Duration,
 }
 
 impl Waiting {
-    /// Returns how long it waits at most.
+    /// Returns the maximum time that the call may wait.
     #[must_use]
     pub fn max_wait(&self) -> Duration {
         self.max_wait
     }
 
-    /// Returns true once it is decided about.
+    /// Returns true once the call has been admitted or displaced.
     #[must_use]
     pub fn is_decided(&self) -> bool {
-        self.admission.state.borrow().queue.is_out(self.place)
+        self.admission.state.borrow().queue.is_resolved(self.key)
     }
 
-    /// Ends the waiting with what was decided until now.
+    /// Stops waiting and returns the permit if the call has been admitted by now.
     ///
     /// # Errors
     ///
-    /// Without a place in time it is refused for overload.
+    /// [`Reason::Overload`] if the call has not been admitted.
     pub fn end(mut self) -> Result<Permit, Reason> {
-        let verdict = self.verdict.try_recv().ok().flatten();
-        self.conclude(verdict)
+        let outcome = self.outcome.try_recv().ok().flatten();
+        self.resolve(outcome)
     }
 
-    fn conclude(&self, verdict: Option<Verdict>) -> Result<Permit, Reason> {
-        let is_admitted = verdict == Some(Verdict::Admitted);
+    fn resolve(&self, outcome: Option<Outcome>) -> Result<Permit, Reason> {
+        let is_admitted = outcome == Some(Outcome::Admitted);
         self.admission.record_decision(is_admitted);
         if is_admitted {
-            Ok(self.admission.take_reserved())
+            Ok(self.admission.reserved_permit())
         } else {
             Err(Reason::Overload)
         }
@@ -460,9 +474,9 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        self.admission.state.borrow_mut().queue.remove(self.place);
-        if let Ok(Some(Verdict::Admitted)) = self.verdict.try_recv() {
-            self.admission.leave();
+        self.admission.state.borrow_mut().queue.remove(self.key);
+        if let Ok(Some(Outcome::Admitted)) = self.outcome.try_recv() {
+            self.admission.release();
         }
     }
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for admission, the most important first.
+//! The priority queue of calls that wait for admission.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,28 +6,28 @@
 use futures::channel::oneshot;
 use sailtrack_units::{Class, Rank};
 
-/// The place of a waiting call; the greatest is admitted first.
+/// The priority of a waiting call; the greatest key is admitted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct Key {
     class: Class,
-    begun: bool,
+    nested: bool,
     rank: Rank,
     arrival: Reverse<u64>,
 }
 
-/// What a waiting call is told.
+/// How the waiting of a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// It may run.
+pub(crate) enum Outcome {
+    /// The call may run.
     Admitted,
-    /// A more important call took its place.
+    /// A call of higher priority took its place in a full queue.
     Displaced,
 }
 
-/// The calls that wait for admission to one upstream.
+/// The calls that wait for admission to one upstream, ordered by priority.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    waiting: BTreeMap<Place, oneshot::Sender<Verdict>>,
+    waiting: BTreeMap<Key, oneshot::Sender<Outcome>>,
     by_class: [usize; Class::COUNT],
     arrivals: u64,
 }
@@ -38,70 +38,70 @@
         self.waiting.len()
     }
 
-    /// Returns how many calls wait that matter at least this much.
-    pub(crate) fn len_from(&self, class: Class) -> usize {
-        let lesser = &self.by_class[..class.index()];
-        self.len() - lesser.iter().sum::<usize>()
+    /// Returns how many calls of at least this class wait.
+    pub(crate) fn len_at_least(&self, class: Class) -> usize {
+        let lower = &self.by_class[..class.index()];
+        self.len() - lower.iter().sum::<usize>()
     }
 
-    /// Adds a call unless `capacity` calls that matter as much wait already.
+    /// Adds a call; returns nothing if `capacity` calls of at least its priority already wait.
     ///
-    /// A call that matters less gives way to it and is told so.
+    /// In a full queue the call of lowest priority is displaced and notified.
     pub(crate) fn push(
         &mut self,
         (class, rank): (Class, Rank),
-        begun: bool,
+        nested: bool,
         capacity: usize,
-    ) -> Option<(Place, oneshot::Receiver<Verdict>)> {
+    ) -> Option<(Key, oneshot::Receiver<Outcome>)> {
         self.arrivals += 1;
-        let place = Place {
+        let key = Key {
             class,
-            begun,
+            nested,
             rank,
             arrival: Reverse(self.arrivals),
         };
-        if self.len() >= capacity && !self.displace_below(place) {
+        if self.len() >= capacity && !self.displace_lowest(key) {
             return None;
         }
         let (sender, receiver) = oneshot::channel();
-        self.waiting.insert(place, sender);
-        self.by_class[place.class.index()] += 1;
-        Some((place, receiver))
+        self.waiting.insert(key, sender);
+        self.by_class[key.class.index()] += 1;
+        Some((key, receiver))
     }
 
-    /// Admits the waiting call that matters most; returns false if none waits.
-    pub(crate) fn admit_first(&mut self) -> bool {
-        while let Some((place, sender)) = self.waiting.pop_last() {
-            self.by_class[place.class.index()] -= 1;
-            if sender.send(Verdict::Admitted).is_ok() {
+    /// Admits the waiting call of highest priority; returns false if none waits.
+    pub(crate) fn admit_next(&mut self) -> bool {
+        while let Some((key, sender)) = self.waiting.pop_last() {
+            self.by_class[key.class.index()] -= 1;
+            if sender.send(Outcome::Admitted).is_ok() {
                 return true;
             }
         }
         false
     }
 
-    /// Returns true if a call does not wait any more.
-    pub(crate) fn is_out(&self, place: Place) -> bool {
-        !self.waiting.contains_key(&place)
+    /// Returns true if a call no longer waits.
+    pub(crate) fn is_resolved(&self, key: Key) -> bool {
+        !self.waiting.contains_key(&key)
     }
 
-    /// Takes out a call that no longer waits.
-    pub(crate) fn remove(&mut self, place: Place) -> bool {
-        let removed = self.waiting.remove(&place).is_some();
-        self.by_class[place.class.index()] -= usize::from(removed);
+    /// Removes a call; returns false if it is no longer in the queue.
+    pub(crate) fn remove(&mut self, key: Key) -> bool {
+        let removed = self.waiting.remove(&key).is_some();
+        self.by_class[key.class.index()] -= usize::from(removed);
         removed
     }
 
-    fn displace_below(&mut self, place: Place) -> bool {
+    fn displace_lowest(&mut self, key: Key) -> bool {
         let Some(lowest) = self.waiting.first_entry() else {
             return false;
         };
-        if *lowest.key() >= place {
+        if *lowest.key() >= key {
             return false;
         }
         self.by_class[lowest.key().class.index()] -= 1;
-        // The receiver may have gone; its place is free either way.
-        let _ = lowest.remove().send(Verdict::Displaced);
+        // The receiver may be gone; the entry is free either way.
+        let _ = lowest.remove().send(Outcome::Displaced);
         true
     }
 }
--- a/crates/admission/src/returns.rs
+++ b/crates/admission/src/refusal.rs
@@ -1,30 +1,30 @@
-//! How many calls are refused for each one admitted, over the last second or two.
+//! The ratio of refused to admitted calls, as an exponentially decaying average.
 
 use std::time::{Duration, Instant};
 
-/// Counts are halved each time this has passed.
+/// The half-life of the counts.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Fading counts of admitted and refused calls.
+/// Exponentially decaying counts of admitted and refused calls.
 #[derive(Debug)]
-pub(crate) struct Returns {
-    halved: Instant,
+pub(crate) struct Ratio {
+    decayed_at: Instant,
     admitted: f64,
     refused: f64,
 }
 
-impl Returns {
+impl Ratio {
     pub(crate) fn new(now: Instant) -> Self {
         Self {
-            halved: now,
+            decayed_at: now,
             admitted: 0.0,
             refused: 0.0,
         }
     }
 
-    /// Notes one call that was admitted or refused.
+    /// Records one call that was admitted or refused.
     pub(crate) fn record(&mut self, now: Instant, admitted: bool) {
-        self.fade(now);
+        self.decay(now);
         if admitted {
             self.admitted += 1.0;
         } else {
@@ -32,20 +32,20 @@
         }
     }
 
-    /// Returns how many calls are refused for each one admitted.
+    /// Returns how many calls are refused for each admitted one.
     pub(crate) fn refused_per_admitted(&mut self, now: Instant) -> f64 {
-        self.fade(now);
+        self.decay(now);
         self.refused / self.admitted.max(1.0)
     }
 
-    fn fade(&mut self, now: Instant) {
-        let age = now.saturating_duration_since(self.halved);
+    fn decay(&mut self, now: Instant) {
+        let age = now.saturating_duration_since(self.decayed_at);
         if age < HALF_LIFE {
             return;
         }
         let factor = 0.5f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64());
         self.admitted *= factor;
         self.refused *= factor;
-        self.halved = now;
+        self.decayed_at = now;
     }
 }
--- a/crates/admission/src/tests.rs
+++ b/crates/admission/src/tests.rs
@@ -1,4 +1,4 @@
-//! The level, limit, queue and window under time that the test sets.
+//! The level, limit, queue and window under simulated time.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,33 +8,33 @@
 use crate::level::Level;
 use crate::limit::Limit;
 use crate::pressure::Pressure;
-use crate::queue::{Queue, Verdict};
+use crate::queue::{Outcome, Queue};
 use crate::window::Windows;
 
 const STEP: Duration = Duration::from_millis(1);
 
 fn kind() -> KindName {
-    "lookup".parse().expect("a name")
+    "lookup".parse().expect("valid name")
 }
 
 fn rank(importance: Importance, hash: u8) -> Rank {
     Rank::from_index((importance as u8) << 6 | hash)
 }
 
-/// Returns the same with the class that decides before it.
-fn place(importance: Importance, hash: u8) -> (Class, Rank) {
+/// Returns the rank with the class that takes precedence over it.
+fn key(importance: Importance, hash: u8) -> (Class, Rank) {
     (importance.into(), rank(importance, hash))
 }
 
-/// Sends as many calls as `each` says for each rank and refuses those below `fits`.
-fn surge(level: &mut Level, now: &mut Instant, fits: u8) {
+/// Sends one call of each admitted rank and refuses those below `capacity`.
+fn surge(level: &mut Level, now: &mut Instant, capacity: u8) {
     for index in 0..=u8::MAX {
         let rank = Rank::from_index(index);
         if level.current(*now) > rank {
             continue;
         }
         level.record_arrival(*now, rank);
-        if index < fits {
+        if index < capacity {
             level.record_saturation();
             level.record_refusal();
         }
@@ -65,41 +65,42 @@
     while level.current(now) > Rank::LOWEST {
         surge(&mut level, &mut now, 0);
         windows += 1;
-        assert!(windows < 30, "still at {}", level.current(now));
+        assert!(windows < 30, "level is still {}", level.current(now));
     }
 }
 
 #[test]
 fn queue_keeps_order() {
     let mut queue = Queue::default();
-    let low = queue.push(place(Importance::Low, 9), false, 2);
-    let high = queue.push(place(Importance::High, 1), false, 2);
-    let critical = queue.push(place(Importance::Critical, 0), false, 2);
-    let refused = queue.push(place(Importance::Normal, 63), false, 2);
+    let low = queue.push(key(Importance::Low, 9), false, 2);
+    let high = queue.push(key(Importance::High, 1), false, 2);
+    let critical = queue.push(key(Importance::Critical, 0), false, 2);
+    let refused = queue.push(key(Importance::Normal, 63), false, 2);
     assert!(refused.is_none());
-    let told = |place: Option<(_, futures::channel::oneshot::Receiver<Verdict>)>| {
-        place.and_then(|(_, mut verdict)| verdict.try_recv().ok().flatten())
+    let outcome = |key: Option<(_, futures::channel::oneshot::Receiver<Outcome>)>| {
+        key.and_then(|(_, mut outcome)| outcome.try_recv().ok().flatten())
     };
-    assert_eq!(told(low), Some(Verdict::Displaced));
-    assert!(queue.admit_first());
-    assert_eq!(told(critical), Some(Verdict::Admitted));
-    assert!(queue.admit_first());
-    assert_eq!(told(high), Some(Verdict::Admitted));
-    assert!(!queue.admit_first());
+    assert_eq!(outcome(low), Some(Outcome::Displaced));
+    assert!(queue.admit_next());
+    assert_eq!(outcome(critical), Some(Outcome::Admitted));
+    assert!(queue.admit_next());
+    assert_eq!(outcome(high), Some(Outcome::Admitted));
+    assert!(!queue.admit_next());
 }
 
+/// Within a class, nested calls are admitted before others, whatever their rank.
 #[test]
 fn begun_goes_first() {
     let mut queue = Queue::default();
-    let new = queue.push(place(Importance::High, 63), false, 2);
-    let begun = queue.push(place(Importance::High, 0), true, 2);
-    assert!(queue.admit_first());
-    let mut verdict = begun.expect("it waits").1;
-    assert_eq!(verdict.try_recv(), Ok(Some(Verdict::Admitted)));
+    let new = queue.push(key(Importance::High, 63), false, 2);
+    let begun = queue.push(key(Importance::High, 0), true, 2);
+    assert!(queue.admit_next());
+    let mut outcome = begun.expect("the call waits").1;
+    assert_eq!(outcome.try_recv(), Ok(Some(Outcome::Admitted)));
     drop(new);
 }
 
-/// Runs an upstream with true slots, in which calls wait their turn, at the limit that is found.
+/// Runs a simulated upstream in which calls beyond `slots` queue, at the limit found so far.
 fn run(limit: &mut Limit, now: &mut Instant, slots: usize, seconds: f64, time: Duration) {
     let end = *now + Duration::from_secs_f64(seconds);
     while *now < end {
@@ -155,17 +156,18 @@
     assert_eq!(limit.allowed(now + Duration::from_secs(2)), 100);
 }
 
-/// Lets eight requests enter, end and meet this pressure, in rounds of 100 ms.
-fn meet(windows: &Rc<Windows>, now: &mut Instant, rounds: usize, pressure: f64) -> usize {
+/// Runs rounds of 100 ms in which up to eight requests start, meet this pressure and end; returns
+/// how many started in the last round.
+fn run_rounds(windows: &Rc<Windows>, now: &mut Instant, rounds: usize, pressure: f64) -> usize {
     let mut entered = 0;
     for _ in 0..rounds {
-        let places: Vec<_> = (0..8)
+        let permits: Vec<_> = (0..8)
             .filter_map(|_| windows.acquire(&kind(), *now))
             .collect();
-        entered = places.len();
+        entered = permits.len();
         *now += STEP * 100;
-        for place in &places {
-            place.record(*now, Pressure(pressure));
+        for permit in &permits {
+            permit.record(*now, Pressure(pressure));
         }
     }
     entered
@@ -175,24 +177,24 @@
 fn window_cut_and_opened() {
     let windows = Rc::new(Windows::default());
     let mut now = Instant::now();
-    assert_eq!(meet(&windows, &mut now, 1, 1.0), 8);
+    assert_eq!(run_rounds(&windows, &mut now, 1, 1.0), 8);
     assert!(
-        meet(&windows, &mut now, 3, 2.5) <= 5,
-        "twice its aim takes off a third"
+        run_rounds(&windows, &mut now, 3, 2.5) <= 5,
+        "twice the target removes a third"
     );
-    assert!(meet(&windows, &mut now, 10, 2.5) <= 2);
-    assert_eq!(meet(&windows, &mut now, 40, 0.5), 8);
+    assert!(run_rounds(&windows, &mut now, 10, 2.5) <= 2);
+    assert_eq!(run_rounds(&windows, &mut now, 40, 0.5), 8);
 }
 
 #[test]
 fn window_keeps_aim() {
     let windows = Rc::new(Windows::default());
     let mut now = Instant::now();
-    // Each request in progress adds a quarter of the limit, so five meet the aim.
+    // Each request in progress adds a quarter of the limit, so five reach the target pressure.
     let mut entered = 8;
     for _ in 0..20 {
-        let met = f64::from(u32::try_from(entered).expect("few")) / 4.0;
-        entered = meet(&windows, &mut now, 1, met);
+        let pressure = f64::from(u32::try_from(entered).expect("small number")) / 4.0;
+        entered = run_rounds(&windows, &mut now, 1, pressure);
         assert!(entered >= 3, "{entered}");
     }
     assert!((4..=6).contains(&entered), "{entered}");
@@ -205,52 +207,68 @@
     let held = windows.acquire(&kind(), now);
     windows.ramp_up(now, 24);
     drop(held);
-    assert_eq!(meet(&windows, &mut now, 1, 0.5), 4, "a sixth of the slots");
-    let next = meet(&windows, &mut now, 1, 0.5);
-    assert!((7..=8).contains(&next), "{next} after a round with room");
-    assert_eq!(meet(&windows, &mut now, 40, 0.5), 8);
+    assert_eq!(
+        run_rounds(&windows, &mut now, 1, 0.5),
+        4,
+        "one sixth of the slots"
+    );
+    let next = run_rounds(&windows, &mut now, 1, 0.5);
+    assert!(
+        (7..=8).contains(&next),
+        "{next} after a round with spare capacity"
+    );
+    assert_eq!(run_rounds(&windows, &mut now, 40, 0.5), 8);
     windows.ramp_up(now, 24);
     windows.end_ramp_up();
-    assert_eq!(meet(&windows, &mut now, 1, 0.5), 8, "it begins open again");
+    assert_eq!(
+        run_rounds(&windows, &mut now, 1, 0.5),
+        8,
+        "new windows are unlimited again"
+    );
 }
 
+/// A window below one request spaces requests out, and grows again.
 #[test]
 fn small_window_paces() {
     let windows = Rc::new(Windows::default());
     let mut now = Instant::now();
-    meet(&windows, &mut now, 60, 10.0);
+    run_rounds(&windows, &mut now, 60, 10.0);
     let mut entered = 0;
     for _ in 0..100 {
         entered += usize::from(windows.acquire(&kind(), now).is_some());
         now += STEP;
     }
     assert!(entered <= 1, "{entered}");
-    assert!(meet(&windows, &mut now, 60, 0.5) >= 4, "it is not stuck");
+    assert!(
+        run_rounds(&windows, &mut now, 60, 0.5) >= 4,
+        "the window grows again"
+    );
 }
 
+/// Queued calls do not count for the pressure that calls of higher classes see.
 #[test]
 fn lesser_calls_press_less() {
     let mut queue = Queue::default();
-    let _low = queue.push(place(Importance::Low, 9), false, 3);
-    let _critical = queue.push(place(Importance::Critical, 9), false, 3);
-    let displaced = queue.push(place(Importance::High, 9), false, 3);
-    let _one_more = queue.push(place(Importance::High, 8), false, 3);
-    assert_eq!(queue.len_from(Importance::Low.into()), 3);
+    let _low = queue.push(key(Importance::Low, 9), false, 3);
+    let _critical = queue.push(key(Importance::Critical, 9), false, 3);
+    let displaced = queue.push(key(Importance::High, 9), false, 3);
+    let _one_more = queue.push(key(Importance::High, 8), false, 3);
+    assert_eq!(queue.len_at_least(Importance::Low.into()), 3);
     assert_eq!(
-        queue.len_from(Importance::High.into()),
+        queue.len_at_least(Importance::High.into()),
         3,
-        "the low one gave way"
+        "the low one was displaced"
     );
-    assert_eq!(queue.len_from(Importance::Critical.into()), 1);
-    let (place, _) = displaced.expect("it waits");
-    assert!(queue.remove(place));
-    assert!(!queue.remove(place));
-    assert!(queue.admit_first());
-    assert_eq!(queue.len_from(Importance::Low.into()), 1);
-    assert_eq!(queue.len_from(Importance::Critical.into()), 0);
+    assert_eq!(queue.len_at_least(Importance::Critical.into()), 1);
+    let (key, _) = displaced.expect("the call waits");
+    assert!(queue.remove(key));
+    assert!(!queue.remove(key));
+    assert!(queue.admit_next());
+    assert_eq!(queue.len_at_least(Importance::Low.into()), 1);
+    assert_eq!(queue.len_at_least(Importance::Critical.into()), 0);
 }
 
-/// The workspace decides first, and among equal ones the kind.
+/// The importance of the workspace comes first, then that of the kind.
 #[test]
 fn classes_in_order() {
     let class = |workspace, kind| Class { workspace, kind };
@@ -259,25 +277,25 @@
     let preferred = class(Importance::Critical, Importance::Normal);
     let mut queue = Queue::default();
     let waiting = [lookup, preferred, payment].map(|class| {
-        let (_, verdict) = queue
+        let (_, outcome) = queue
             .push((class, Rank::LOWEST), false, 3)
-            .expect("there is room");
-        verdict
+            .expect("the queue has capacity");
+        outcome
     });
     assert_eq!(
-        [lookup, payment, preferred].map(|class| queue.len_from(class)),
+        [lookup, payment, preferred].map(|class| queue.len_at_least(class)),
         [3, 2, 1]
     );
     let mut order = Vec::new();
     let [mut lookup, mut preferred, mut payment] = waiting;
-    while queue.admit_first() {
+    while queue.admit_next() {
         let named = [
             ("lookup", &mut lookup),
             ("preferred", &mut preferred),
             ("payment", &mut payment),
         ];
-        for (name, verdict) in named {
-            if matches!(verdict.try_recv(), Ok(Some(Verdict::Admitted))) {
+        for (name, outcome) in named {
+            if matches!(outcome.try_recv(), Ok(Some(Outcome::Admitted))) {
                 order.push(name);
             }
         }
