--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -1,4 +1,6 @@
-//! Chooses among a few upstreams that are drawn.
+//! Chooses an upstream for a request, by least expected cost among a random sample.
+//!
+//! This is the power of two choices with a larger sample and a memory of recent winners.
 
 use std::cell::Cell;
 
@@ -6,43 +8,44 @@
 
 use crate::candidate::Candidate;
 use crate::estimate::Estimate;
-use crate::spill::{prefers_far, wants_far};
-
-/// Of this many upstreams or fewer all are looked at.
-const FEW: usize = 8;
-/// How many of more are drawn, beside those that were the best lately.
-const DRAWN: usize = 6;
-/// From this pressure of the best on only two are compared: where all are nearly full, many senders
-/// that each know the best would all send there before the news of it comes.
-const CROWDED_FROM: f64 = 0.9;
-/// How many of the best are looked at again.
-const REMEMBERED: usize = 2;
-/// One request in this many goes to any upstream with room, so that what is known of each stays
-/// new.
-const EXPLORED: u32 = 32;
-/// No request goes to any upstream from this pressure on,
-const EXPLORED_BELOW: f64 = 0.9;
-/// or if this share of its kind would not end in time there.
-const EXPLORED_LATE: f64 = 0.02;
-
-/// In which failure domain an upstream stands.
+use crate::spill::{needs_spillover, prefers_other_domain};
+
+/// All upstreams are compared if there are at most this many.
+const MAX_FULL_SCAN: usize = 8;
+/// The size of the random sample if there are more, in addition to the shortlist.
+const SAMPLED: usize = 6;
+/// The pressure of the best upstream from which only two random ones are compared: when all are
+/// nearly full, many senders that know the best one would all send there before its next report.
+const SATURATED_FROM: f64 = 0.9;
+/// How many of the best upstreams are kept for the next choice.
+const SHORTLIST_LEN: usize = 2;
+/// One request in this many goes to a random upstream with capacity, so that the statistics of all
+/// upstreams stay up to date.
+const EXPLORATION_INTERVAL: u32 = 32;
+/// The pressure from which an upstream is not explored.
+const MAX_EXPLORED_PRESSURE: f64 = 0.9;
+/// The expected share of requests of the kind missing their deadline from which an upstream is not
+/// explored.
+const MAX_EXPLORED_LATE_SHARE: f64 = 0.02;
+
+/// Where an upstream is, relative to the failure domain of this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Locality {
-    /// In the own one.
+    /// In the same failure domain.
     SameDomain,
-    /// In another one.
+    /// In another failure domain.
     OtherDomain,
 }
 
-/// The upstreams of a service that were the best among those that were drawn lately.
+/// The best upstreams of a service in the last sample, by index.
 #[derive(Debug, Default)]
 pub struct Shortlist {
-    same_domain: Cell<[usize; REMEMBERED]>,
-    other_domains: Cell<[usize; REMEMBERED]>,
+    same_domain: Cell<[usize; SHORTLIST_LEN]>,
+    other_domains: Cell<[usize; SHORTLIST_LEN]>,
 }
 
 impl Shortlist {
-    fn of(&self, locality: Locality) -> &Cell<[usize; REMEMBERED]> {
+    fn of(&self, locality: Locality) -> &Cell<[usize; SHORTLIST_LEN]> {
         match locality {
             Locality::SameDomain => &self.same_domain,
             Locality::OtherDomain => &self.other_domains,
@@ -50,25 +53,25 @@
     }
 }
 
-/// The upstreams of a service.
+/// The upstreams of a service, addressed by locality and index.
 pub struct Candidates<'a, L> {
-    /// How many there are in the own failure domain,
+    /// How many there are in the same failure domain.
     pub same_domain: usize,
-    /// and in the others.
+    /// How many there are in other failure domains.
     pub other_domains: usize,
-    /// Returns what is known of one, or nothing if it takes no requests.
+    /// Returns the state of one upstream, or nothing if it takes no requests.
     pub lookup: L,
-    /// By how much those in the other domains are emptier together.
+    /// The average pressure in the same domain minus that in the other domains.
     pub pressure_gap: f64,
-    /// Those that were the best lately.
+    /// The best upstreams of recent choices.
     pub shortlist: &'a Shortlist,
 }
 
-type Found = (usize, Candidate);
+type Entry = (usize, Candidate);
 
-/// Returns which upstream gets a request.
+/// Returns the locality and index of the upstream that gets a request.
 ///
-/// Those that failed lately are left out unless there is no other one.
+/// Ejected upstreams are left out unless there is no other one.
 pub fn choose<L, R>(
     candidates: &Candidates<'_, L>,
     estimate: &Estimate,
@@ -78,30 +81,38 @@
     L: Fn(Locality, usize) -> Option<Candidate>,
     R: Rng,
 {
-    let near = candidates.best(Locality::SameDomain, estimate, random);
-    let is_sound = |found: &Found| found.1.is_available;
-    if let Some((place, candidate)) = near.filter(is_sound)
-        && !wants_far(&candidate, estimate)
+    let same_domain = candidates.best(Locality::SameDomain, estimate, random);
+    let is_available = |found: &Entry| found.1.is_available;
+    if let Some((index, candidate)) = same_domain.filter(is_available)
+        && !needs_spillover(&candidate, estimate)
     {
-        let explored = candidates.explored(Locality::SameDomain, estimate, random);
-        return Some((Locality::SameDomain, explored.unwrap_or(place)));
+        let explored = candidates.explore(Locality::SameDomain, estimate, random);
+        return Some((Locality::SameDomain, explored.unwrap_or(index)));
     }
-    let far = candidates.best(Locality::OtherDomain, estimate, random);
-    let prefers = match (&near, &far) {
-        (Some((_, near)), Some((_, far))) if near.is_available == far.is_available => {
-            prefers_far(near, far, estimate, candidates.pressure_gap, random)
+    let other_domain = candidates.best(Locality::OtherDomain, estimate, random);
+    let spills_over = match (&same_domain, &other_domain) {
+        (Some((_, same_domain)), Some((_, other_domain)))
+            if same_domain.is_available == other_domain.is_available =>
+        {
+            prefers_other_domain(
+                same_domain,
+                other_domain,
+                estimate,
+                candidates.pressure_gap,
+                random,
+            )
         }
-        (Some((_, near)), Some(_)) => !near.is_available,
-        (near, _) => near.is_none(),
+        (Some((_, same_domain)), Some(_)) => !same_domain.is_available,
+        (same_domain, _) => same_domain.is_none(),
     };
-    let (locality, found) = if prefers {
-        (Locality::OtherDomain, far)
+    let (locality, found) = if spills_over {
+        (Locality::OtherDomain, other_domain)
     } else {
-        (Locality::SameDomain, near)
+        (Locality::SameDomain, same_domain)
     };
-    let (place, _) = found?;
-    let explored = candidates.explored(locality, estimate, random);
-    Some((locality, explored.unwrap_or(place)))
+    let (index, _) = found?;
+    let explored = candidates.explore(locality, estimate, random);
+    Some((locality, explored.unwrap_or(index)))
 }
 
 impl<L> Candidates<'_, L>
@@ -115,139 +126,145 @@
         }
     }
 
-    /// Returns the best of a few upstreams of one side.
+    /// Returns the best of a sample of the upstreams of one locality.
     fn best(
         &self,
         locality: Locality,
         estimate: &Estimate,
         random: &mut impl Rng,
-    ) -> Option<Found> {
+    ) -> Option<Entry> {
         let len = self.len(locality);
         if len == 0 {
             return None;
         }
         let mut best = Best::default();
-        let first = random.random_range(0..len);
-        if len <= FEW {
-            for step in 0..len {
-                self.weigh(locality, (first + step) % len, estimate, &mut best, random);
+        let start = random.random_range(0..len);
+        if len <= MAX_FULL_SCAN {
+            for offset in 0..len {
+                self.evaluate(
+                    locality,
+                    (start + offset) % len,
+                    estimate,
+                    &mut best,
+                    random,
+                );
             }
             let found = best.found();
-            let is_crowded = |found: &Found| found.1.pressure >= CROWDED_FROM;
-            if !found.as_ref().is_some_and(is_crowded) {
+            let is_saturated = |found: &Entry| found.1.pressure >= SATURATED_FROM;
+            if !found.as_ref().is_some_and(is_saturated) {
                 return found;
             }
             let mut best = Best::default();
-            self.weigh(locality, first, estimate, &mut best, random);
-            let place = random.random_range(0..len);
-            self.weigh(locality, place, estimate, &mut best, random);
+            self.evaluate(locality, start, estimate, &mut best, random);
+            let index = random.random_range(0..len);
+            self.evaluate(locality, index, estimate, &mut best, random);
             return best.found().or(found);
         }
-        self.weigh(locality, first, estimate, &mut best, random);
-        for _ in 1..DRAWN {
-            let place = random.random_range(0..len);
-            self.weigh(locality, place, estimate, &mut best, random);
+        self.evaluate(locality, start, estimate, &mut best, random);
+        for _ in 1..SAMPLED {
+            let index = random.random_range(0..len);
+            self.evaluate(locality, index, estimate, &mut best, random);
         }
         let shortlist = self.shortlist.of(locality);
-        for place in shortlist.get() {
-            if place < len {
-                self.weigh(locality, place, estimate, &mut best, random);
+        for index in shortlist.get() {
+            if index < len {
+                self.evaluate(locality, index, estimate, &mut best, random);
             }
         }
-        shortlist.set(best.places.map(|place| place.unwrap_or(usize::MAX)));
-        if best.sound.is_none() {
-            self.scan(locality, first, estimate, &mut best, random);
+        shortlist.set(best.shortlist.map(|index| index.unwrap_or(usize::MAX)));
+        if best.available.is_none() {
+            self.find_available(locality, start, estimate, &mut best, random);
         }
         best.found()
     }
 
-    /// Looks for the first sound upstream when none was drawn.
-    fn scan(
+    /// Looks for the first available upstream when the sample contained none.
+    fn find_available(
         &self,
         locality: Locality,
-        first: usize,
+        start: usize,
         estimate: &Estimate,
         best: &mut Best,
         random: &mut impl Rng,
     ) {
         let len = self.len(locality);
-        for step in 0..len {
-            self.weigh(locality, (first + step) % len, estimate, best, random);
-            if best.sound.is_some() {
+        for offset in 0..len {
+            self.evaluate(locality, (start + offset) % len, estimate, best, random);
+            if best.available.is_some() {
                 return;
             }
         }
     }
 
-    fn weigh(
+    fn evaluate(
         &self,
         locality: Locality,
-        place: usize,
+        index: usize,
         estimate: &Estimate,
         best: &mut Best,
         random: &mut impl Rng,
     ) {
-        if best.places.contains(&Some(place)) {
+        if best.shortlist.contains(&Some(index)) {
             return;
         }
-        if let Some(candidate) = (self.lookup)(locality, place) {
+        if let Some(candidate) = (self.lookup)(locality, index) {
             let perturbed = candidate.perturbed(random);
-            best.take(place, candidate, perturbed.cost(estimate));
+            best.offer(index, candidate, perturbed.cost(estimate));
         }
     }
 
-    /// Returns any upstream of one side with room, from time to time.
-    fn explored(
+    /// Returns a random upstream with capacity once in a while, in place of the best one.
+    fn explore(
         &self,
         locality: Locality,
         estimate: &Estimate,
         random: &mut impl Rng,
     ) -> Option<usize> {
-        if !random.random_ratio(1, EXPLORED) {
+        if !random.random_ratio(1, EXPLORATION_INTERVAL) {
             return None;
         }
-        let place = random.random_range(0..self.len(locality));
-        let candidate = (self.lookup)(locality, place)?;
-        let has_room = candidate.is_available && candidate.pressure < EXPLORED_BELOW;
-        (has_room && candidate.late(estimate) < EXPLORED_LATE).then_some(place)
+        let index = random.random_range(0..self.len(locality));
+        let candidate = (self.lookup)(locality, index)?;
+        let has_room = candidate.is_available && candidate.pressure < MAX_EXPLORED_PRESSURE;
+        (has_room && candidate.late_share(estimate) < MAX_EXPLORED_LATE_SHARE).then_some(index)
     }
 }
 
-/// The best of those that were looked at.
+/// The best of the upstreams evaluated so far.
 #[derive(Default)]
 struct Best {
-    sound: Option<(Found, f64)>,
-    unsound: Option<(Found, f64)>,
-    /// The best sound ones, the best first.
-    places: [Option<usize>; REMEMBERED],
-    second: f64,
+    available: Option<(Entry, f64)>,
+    unavailable: Option<(Entry, f64)>,
+    /// The best available ones, the best first.
+    shortlist: [Option<usize>; SHORTLIST_LEN],
+    second_cost: f64,
 }
 
 impl Best {
-    fn take(&mut self, place: usize, candidate: Candidate, cost: f64) {
-        let found = (place, candidate);
+    fn offer(&mut self, index: usize, candidate: Candidate, cost: f64) {
+        let found = (index, candidate);
         if !candidate.is_available {
-            if self.unsound.is_none_or(|(_, least)| cost < least) {
-                self.unsound = Some((found, cost));
+            if self.unavailable.is_none_or(|(_, lowest)| cost < lowest) {
+                self.unavailable = Some((found, cost));
             }
             return;
         }
-        match self.sound {
-            Some((_, least)) if cost >= least => {
-                if self.places[1].is_none() || cost < self.second {
-                    self.places[1] = Some(place);
-                    self.second = cost;
+        match self.available {
+            Some((_, lowest)) if cost >= lowest => {
+                if self.shortlist[1].is_none() || cost < self.second_cost {
+                    self.shortlist[1] = Some(index);
+                    self.second_cost = cost;
                 }
             }
-            before => {
-                self.places = [Some(place), self.places[0]];
-                self.second = before.map_or(f64::MAX, |(_, least)| least);
-                self.sound = Some((found, cost));
+            previous => {
+                self.shortlist = [Some(index), self.shortlist[0]];
+                self.second_cost = previous.map_or(f64::MAX, |(_, lowest)| lowest);
+                self.available = Some((found, cost));
             }
         }
     }
 
-    fn found(self) -> Option<Found> {
-        self.sound.or(self.unsound).map(|(found, _)| found)
+    fn found(self) -> Option<Entry> {
+        self.available.or(self.unavailable).map(|(found, _)| found)
     }
 }
--- a/crates/placement/src/speed.rs
+++ b/crates/placement/src/speed.rs
@@ -1,64 +1,63 @@
-//! How long an upstream takes beside the others of its service.
+//! The latency of an upstream relative to the others of its service.
 
 use std::time::{Duration, Instant};
 
 use crate::decay::remaining;
 
-/// The weight of the newest answer once some are known.
-const NEWEST_WEIGHT: f64 = 0.08;
-/// How many answers the assumption that it is like the others stands for.
-const ASSUMED_ANSWERS: f64 = 1.0;
-/// Without answers half of what is known is forgotten in this time, so that an upstream that was
-/// slow when it was new, or while it was full, is tried again.
+/// The minimum weight of the newest answer; the first answers weigh more.
+const MIN_WEIGHT: f64 = 0.08;
+/// The weight of the prior assumption that the upstream is like the others, in answers.
+const PRIOR_ANSWERS: f64 = 1.0;
+/// The half-life of the estimate without answers, so that an upstream that was slow while it was new
+/// or full gets requests again.
 const HALF_LIFE: Duration = Duration::from_secs(6);
-/// The greatest logarithm by which one answer may differ from what is expected.
-const MOST_SURPRISE: f64 = 1.5;
-/// The logarithm by which an upstream without answers may differ from the others. Each answer
-/// leaves less of it.
-const FIRST_DOUBT: f64 = 0.5;
+/// The maximum deviation of one answer from the expected latency that is counted, as a logarithm.
+const MAX_DEVIATION: f64 = 1.5;
+/// The uncertainty about an upstream without answers, as a logarithm. It shrinks with each answer.
+const INITIAL_UNCERTAINTY: f64 = 0.5;
 
-/// How long an upstream takes beside the others of its service, whatever the kind.
+/// The latency of an upstream relative to the others of its service, over all kinds of requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Speed {
-    /// The logarithm of its time as a share of what the others take.
-    log: f64,
+    /// The logarithm of its latency divided by that of the others.
+    log_slowness: f64,
     answers: f64,
-    answered: Option<Instant>,
+    last_answer: Option<Instant>,
 }
 
 impl Speed {
-    /// Returns how many times as long as the others it takes.
+    /// Returns the latency of the upstream divided by that of the others.
     #[must_use]
     pub fn slowness(&self, now: Instant) -> f64 {
-        self.log(now).exp()
+        self.log_slowness(now).exp()
     }
 
-    /// Returns by how much it may be quicker or slower than that, as a logarithm.
+    /// Returns the uncertainty of the slowness, as a difference of its logarithm.
     #[must_use]
     pub fn uncertainty(&self) -> f64 {
-        FIRST_DOUBT / (1.0 + self.answers)
+        INITIAL_UNCERTAINTY / (1.0 + self.answers)
     }
 
-    /// Returns true if an answer of it was seen.
+    /// Returns true if the upstream has answered a request.
     #[must_use]
     pub fn is_known(&self) -> bool {
-        self.answered.is_some()
+        self.last_answer.is_some()
     }
 
-    /// Notes an answer that took so much longer, as a logarithm, than one of its kind usually does.
-    pub(crate) fn record(&mut self, now: Instant, log: f64) {
-        let before = self.log(now);
+    /// Records an answer whose latency exceeded the average of its kind by this logarithm.
+    pub(crate) fn record(&mut self, now: Instant, log_slowness: f64) {
+        let previous = self.log_slowness(now);
         self.answers += 1.0;
-        let weight = NEWEST_WEIGHT.max(1.0 / (self.answers + ASSUMED_ANSWERS));
-        let surprise = (log - before).clamp(-MOST_SURPRISE, MOST_SURPRISE);
-        self.log = before + surprise * weight;
-        self.answered = Some(now);
+        let weight = MIN_WEIGHT.max(1.0 / (self.answers + PRIOR_ANSWERS));
+        let deviation = (log_slowness - previous).clamp(-MAX_DEVIATION, MAX_DEVIATION);
+        self.log_slowness = previous + deviation * weight;
+        self.last_answer = Some(now);
     }
 
-    pub(crate) fn log(&self, now: Instant) -> f64 {
+    pub(crate) fn log_slowness(&self, now: Instant) -> f64 {
         let age = self
-            .answered
+            .last_answer
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.log * remaining(age, HALF_LIFE)
+        self.log_slowness * remaining(age, HALF_LIFE)
     }
 }
--- a/crates/placement/src/spill.rs
+++ b/crates/placement/src/spill.rs
@@ -1,44 +1,44 @@
-//! When a request goes to another failure domain.
+//! Spillover: when a request goes to another failure domain.
 
 use rand::Rng;
 
 use crate::candidate::Candidate;
 use crate::estimate::Estimate;
 
-/// An upstream of another failure domain is preferred if the near one loses this much more of its
-/// requests. A loss of a tenth outweighs the price of an answer between failure domains.
-const LOSING_MARGIN: f64 = 0.1;
-/// From this pressure on the near upstreams are relieved: what is sent before the news of it comes
-/// would wait in their queues.
-const RELIEVED_FROM: f64 = 0.9;
-/// How much emptier the others must be together for the first request to go there,
-const LEAST_MARGIN: f64 = 0.02;
-/// and for every one. Each request draws its own margin between the two, so that what goes grows
-/// with the difference and many senders with the same news do not all turn at once.
-const MOST_MARGIN: f64 = 0.3;
-/// One upstream that is emptier than another by this is so not only by chance.
-const CLEAR_MARGIN: f64 = 0.3;
+/// An upstream in another failure domain is preferred if the best one in the same domain loses this
+/// much more of its requests. Losing a tenth outweighs the cost of crossing between domains.
+const LOSS_MARGIN: f64 = 0.1;
+/// The pressure from which requests may spill over. It is below 1, as requests that are sent before
+/// the next report arrives would wait in the queue.
+const SPILL_FROM: f64 = 0.9;
+/// The pressure gap between the domains from which some requests spill over.
+const MIN_MARGIN: f64 = 0.02;
+/// The pressure gap from which all do. Each request draws its own margin between the two, so that
+/// the spillover grows with the gap and many senders with the same reports do not all switch at once.
+const MAX_MARGIN: f64 = 0.3;
+/// A difference in pressure between two upstreams that is more than random variation.
+const CLEAR_DIFFERENCE: f64 = 0.3;
 
-/// Returns true if the other failure domains need to be looked at.
-pub(crate) fn wants_far(near: &Candidate, estimate: &Estimate) -> bool {
-    near.pressure >= RELIEVED_FROM || near.lost(estimate) > LOSING_MARGIN
+/// Returns true if upstreams in other failure domains should be considered.
+pub(crate) fn needs_spillover(same_domain: &Candidate, estimate: &Estimate) -> bool {
+    same_domain.pressure >= SPILL_FROM || same_domain.loss_rate(estimate) > LOSS_MARGIN
 }
 
-/// Returns true if a target in another failure domain is preferred to a near one; the others are
-/// `emptier` together than those of the own domain.
-pub(crate) fn prefers_far(
-    near: &Candidate,
-    far: &Candidate,
+/// Returns true if an upstream in another failure domain is preferred to one in the same domain;
+/// `pressure_gap` is the average pressure in the same domain minus that in the others.
+pub(crate) fn prefers_other_domain(
+    same_domain: &Candidate,
+    other_domain: &Candidate,
     estimate: &Estimate,
     pressure_gap: f64,
     random: &mut impl Rng,
 ) -> bool {
-    let is_sounder = far.lost(estimate) + LOSING_MARGIN < near.lost(estimate);
-    if is_sounder && far.pressure < 1.0 {
+    let is_safer = other_domain.loss_rate(estimate) + LOSS_MARGIN < same_domain.loss_rate(estimate);
+    if is_safer && other_domain.pressure < 1.0 {
         return true;
     }
-    let margin = random.random_range(LEAST_MARGIN..MOST_MARGIN);
-    let difference = near.pressure - far.pressure;
-    let is_emptier = pressure_gap > margin && difference > LEAST_MARGIN;
-    near.pressure >= RELIEVED_FROM && (is_emptier || difference > CLEAR_MARGIN)
+    let margin = random.random_range(MIN_MARGIN..MAX_MARGIN);
+    let difference = same_domain.pressure - other_domain.pressure;
+    let is_less_loaded = pressure_gap > margin && difference > MIN_MARGIN;
+    same_domain.pressure >= SPILL_FROM && (is_less_loaded || difference > CLEAR_DIFFERENCE)
 }
