--- a/crates/placement/src/average.rs
+++ b/crates/placement/src/average.rs
@@ -1,49 +1,49 @@
-//! How full the upstreams of one side are together.
+//! The average pressure of the upstreams of one locality.
 
 use std::time::{Duration, Instant};
 
 use crate::decay::remaining;
 
-/// Over how long what upstreams tell is averaged: the calls in one come and go by a tenth of its
-/// slots within the time of an answer, and that is no difference between failure domains.
-const AVERAGED: Duration = Duration::from_millis(300);
-/// Without news half of the level is forgotten in this time, so that the side is tried again.
+/// The time constant of the moving average. Within one response time the calls in an upstream vary by
+/// a tenth of its slots, which must not count as a difference between failure domains.
+const TIME_CONSTANT: Duration = Duration::from_millis(300);
+/// The half-life of the average without reports, so that these upstreams get requests again.
 const HALF_LIFE: Duration = Duration::from_millis(500);
-/// The least weight of the newest news, however fast they come, and the greatest.
-const WEIGHTS: (f64, f64) = (0.01, 0.3);
+/// The minimum and the maximum weight of one report, however soon or late after the last one.
+const WEIGHT_RANGE: (f64, f64) = (0.01, 0.3);
 
-/// How full the upstreams of one side are together, as they tell it.
+/// The exponentially weighted moving average of the pressure that upstreams report.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Average {
     value: f64,
-    heard: Option<Instant>,
+    updated: Option<Instant>,
 }
 
 impl Average {
-    /// Notes how full one of the upstreams is.
+    /// Records the pressure that one of the upstreams reports.
     pub fn record(&mut self, now: Instant, pressure: f64) {
-        let Some(heard) = self.heard.replace(now) else {
+        let Some(updated) = self.updated.replace(now) else {
             self.value = pressure;
             return;
         };
-        let age = now.saturating_duration_since(heard);
-        let weight = age.as_secs_f64() / AVERAGED.as_secs_f64();
-        self.value += (pressure - self.value) * weight.clamp(WEIGHTS.0, WEIGHTS.1);
+        let age = now.saturating_duration_since(updated);
+        let weight = age.as_secs_f64() / TIME_CONSTANT.as_secs_f64();
+        self.value += (pressure - self.value) * weight.clamp(WEIGHT_RANGE.0, WEIGHT_RANGE.1);
     }
 
-    /// Returns true if anything was told.
+    /// Returns true if there has been a report.
     #[must_use]
     pub fn is_known(&self) -> bool {
-        self.heard.is_some()
+        self.updated.is_some()
     }
 
-    /// Returns the level, as far as it is still known.
+    /// Returns the average, decayed if the last report is old.
     #[must_use]
     pub fn at(&self, now: Instant) -> f64 {
         let age = self
-            .heard
+            .updated
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let age = age.saturating_sub(AVERAGED);
+        let age = age.saturating_sub(TIME_CONSTANT);
         self.value * remaining(age, HALF_LIFE)
     }
 }
--- a/crates/placement/src/decay.rs
+++ b/crates/placement/src/decay.rs
@@ -1,8 +1,8 @@
-//! How much of what was learned still counts.
+//! Exponential decay of old measurements.
 
 use std::time::Duration;
 
-/// Returns the share that remains after `age` of what is halved each time `half_life` has passed.
+/// Returns the weight that remains after `age`, given the half-life.
 pub(crate) fn remaining(age: Duration, half_life: Duration) -> f64 {
     if age.is_zero() {
         return 1.0;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decides which of a service's upstreams gets a request.
+//! Load balancing: decides which upstream of a service gets a request.
 //!
-//! Nothing here knows sockets or reads a clock: what was learned from answers
-//! goes in with its time, and a place among the upstreams comes out.
+//! The crate does no I/O and reads no clock. Its inputs are measurements taken from answers, with
+//! their times; its output is the index of an upstream.
 
 mod candidate;
 mod choice;
--- a/crates/placement/src/report.rs
+++ b/crates/placement/src/report.rs
@@ -1,4 +1,4 @@
-//! What an upstream said last of itself, and how much of it still counts.
+//! The last load report of an upstream, weighted by its age.
 
 use std::time::{Duration, Instant};
 
@@ -8,37 +8,40 @@
 use crate::average::Average;
 use crate::decay::remaining;
 
-/// A pace is taken at its word for this long.
-const PACE_HOLD: Duration = Duration::from_millis(100);
-/// After that half of what it differs from the usual is left each time this has passed: neighbours
-/// on an instance come and go within some tenths of a second.
+/// A reported pace is used unchanged for this long.
+const PACE_FRESH_FOR: Duration = Duration::from_millis(100);
+/// After that its deviation from the usual pace decays with this half-life: noisy neighbours on an
+/// instance come and go within some tenths of a second.
 const PACE_HALF_LIFE: Duration = Duration::from_millis(200);
 
-/// How full an upstream said last that it is.
+/// The last pressure that an upstream reported.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LoadReport {
-    told: Option<(Pressure, Instant)>,
-    /// The requests that were on their way from here when it was told.
+    reported: Option<(Pressure, Instant)>,
+    /// The requests from this node that were outstanding at the time of the report.
     outstanding: u32,
 }
 
 impl LoadReport {
-    /// Notes how full the upstream is, while `outstanding` requests were on their way from here.
+    /// Records a reported pressure, received while `outstanding` requests from this node were under
+    /// way.
     pub fn record(&mut self, now: Instant, pressure: Pressure, outstanding: u32) {
-        self.told = Some((pressure, now));
+        self.reported = Some((pressure, now));
         self.outstanding = outstanding;
     }
 
-    /// Returns true if anything was told.
+    /// Returns true if there has been a report.
     #[must_use]
     pub fn is_known(&self) -> bool {
-        self.told.is_some()
+        self.reported.is_some()
     }
 
-    /// Returns how full the upstream is, with what went there from here since it was told.
+    /// Returns the estimated pressure, including the requests that this node sent there since the
+    /// report.
     ///
-    /// As what was told gets old, the upstream is taken to be like the others of its side: taken
-    /// to be empty, two failure domains would each send to the other what both have no room for.
+    /// As the report ages, the average of the upstreams of its locality takes its place. If old
+    /// reports counted as no load, two overloaded failure domains would send their excess requests to
+    /// each other.
     #[must_use]
     pub fn pressure(
         &self,
@@ -48,35 +51,36 @@
         average: &Average,
     ) -> Pressure {
         let own = Pressure::of(outstanding as usize, slots as usize);
-        let Some((told, heard)) = self.told else {
+        let Some((reported, received)) = self.reported else {
             return Pressure(average.at(now)).max(own);
         };
-        let since = outstanding.saturating_sub(self.outstanding);
-        let added = Pressure::of(since as usize, slots as usize);
-        let news = Pressure(1.0).decayed(heard, now).0;
-        let there = told.0 * news + average.at(now) * (1.0 - news);
-        Pressure(there + added.0).max(own)
+        let sent_since = outstanding.saturating_sub(self.outstanding);
+        let added = Pressure::of(sent_since as usize, slots as usize);
+        let freshness = Pressure(1.0).decayed(received, now).0;
+        let blended = reported.0 * freshness + average.at(now) * (1.0 - freshness);
+        Pressure(blended + added.0).max(own)
     }
 }
 
-/// How long work takes on the instance of an upstream, as it said last.
+/// The last pace that an upstream reported: how long work takes on its instance relative to usual.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PaceReport(Option<(Pace, Instant)>);
 
 impl PaceReport {
-    /// Notes how long work takes there.
+    /// Records a reported pace.
     pub fn record(&mut self, now: Instant, pace: Pace) {
         self.0 = Some((pace, now));
     }
 
-    /// Returns how many times as long as usual work takes there, as far as that is still known.
+    /// Returns the factor by which work there takes longer than usual, decayed towards 1 if the report
+    /// is old.
     #[must_use]
     pub fn factor(&self, now: Instant) -> f64 {
-        let Some((pace, heard)) = self.0 else {
+        let Some((pace, received)) = self.0 else {
             return 1.0;
         };
-        let age = now.saturating_duration_since(heard);
-        let old = age.saturating_sub(PACE_HOLD);
-        1.0 + (pace.factor() - 1.0) * remaining(old, PACE_HALF_LIFE)
+        let age = now.saturating_duration_since(received);
+        let stale = age.saturating_sub(PACE_FRESH_FOR);
+        1.0 + (pace.factor() - 1.0) * remaining(stale, PACE_HALF_LIFE)
     }
 }
