--- a/crates/placement/benches/choice.rs
+++ b/crates/placement/benches/choice.rs
@@ -1,4 +1,4 @@
-//! How long a choice takes among few and many upstreams.
+//! Measures the time of one choice among few and among many upstreams.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -13,19 +13,19 @@
 use sailtrack_units::{KindName, Pace};
 
 const ROUNDS: u32 = 1_000_000;
-const LEFT: Duration = Duration::from_millis(1500);
-/// One in this many takes no requests.
-const AWAY: usize = 10;
+const TIME_LEFT: Duration = Duration::from_millis(1500);
+/// One upstream in this many takes no requests.
+const UNAVAILABLE_INTERVAL: usize = 10;
 
-/// Returns the time of one choice among this many upstreams in three failure domains.
+/// Returns the average time of one choice among this many upstreams in three failure domains.
 fn choice(upstreams: usize, pressure: f64) -> Duration {
     let mut random = SmallRng::seed_from_u64(1);
     let now = Instant::now();
-    let kind: KindName = "browse".parse().expect("a name");
-    let mut times = Latencies::default();
-    let mut learned = Vec::new();
+    let kind: KindName = "browse".parse().expect("valid name");
+    let mut latencies = Latencies::default();
+    let mut upstream_stats = Vec::new();
     for _ in 0..upstreams {
-        let (mut speed, mut news) = (
+        let (mut speed, mut reports) = (
             Speed::default(),
             (LoadReport::default(), PaceReport::default()),
         );
@@ -36,49 +36,50 @@
                 pace: 1.0,
                 is_answered: true,
             };
-            times.record(&kind, &mut speed, now, sample);
+            latencies.record(&kind, &mut speed, now, sample);
         }
-        news.0
+        reports
+            .0
             .record(now, Pressure(random.random_range(0.8..1.0) * pressure), 0);
-        news.1.record(now, Pace::USUAL);
-        learned.push((speed, news));
+        reports.1.record(now, Pace::USUAL);
+        upstream_stats.push((speed, reports));
     }
     let shortlist = Shortlist::default();
-    let mut level = Average::default();
-    level.record(now, pressure);
+    let mut average = Average::default();
+    average.record(now, pressure);
     let same_domain = upstreams.div_ceil(3);
     let candidates = Candidates {
         same_domain,
         other_domains: upstreams - same_domain,
-        lookup: |locality, place| {
-            let place = if locality == Locality::SameDomain {
-                place
+        lookup: |locality, index| {
+            let index = if locality == Locality::SameDomain {
+                index
             } else {
-                same_domain + place
+                same_domain + index
             };
-            let (speed, news): &(Speed, (LoadReport, PaceReport)) = &learned[place];
-            (place % AWAY != 0).then(|| Candidate {
+            let (speed, reports): &(Speed, (LoadReport, PaceReport)) = &upstream_stats[index];
+            (index % UNAVAILABLE_INTERVAL != 0).then(|| Candidate {
                 is_available: true,
-                pressure: news.0.pressure(now, 1, 60, &level).0,
+                pressure: reports.0.pressure(now, 1, 60, &average).0,
                 failure_rate: 0.0,
-                slowness: speed.slowness(now) * news.1.factor(now),
+                slowness: speed.slowness(now) * reports.1.factor(now),
                 uncertainty: speed.uncertainty(),
             })
         },
         pressure_gap: 0.0,
         shortlist: &shortlist,
     };
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..ROUNDS {
-        let estimate = times.estimate(&kind, LEFT);
+        let estimate = latencies.estimate(&kind, TIME_LEFT);
         black_box(choose(&candidates, black_box(&estimate), &mut random));
     }
-    began.elapsed() / ROUNDS
+    started.elapsed() / ROUNDS
 }
 
 fn main() {
     for upstreams in [4, 14, 194, 200, 560, 3096] {
-        let (room, full) = (choice(upstreams, 0.5), choice(upstreams, 1.2));
-        println!("{upstreams} upstreams: {room:?} with room, {full:?} full");
+        let (spare, saturated) = (choice(upstreams, 0.5), choice(upstreams, 1.2));
+        println!("{upstreams} upstreams: {spare:?} with spare capacity, {saturated:?} saturated");
     }
 }
