--- a/crates/placement/tests/newcomers.rs
+++ b/crates/placement/tests/newcomers.rs
@@ -1,4 +1,4 @@
-//! An upstream of which nothing good is known yet gets requests, in whichever failure domain.
+//! An upstream without statistics gets requests, in the same failure domain and in others.
 
 use std::collections::HashSet;
 
@@ -16,8 +16,8 @@
     }
 }
 
-/// Returns the places that so many requests get.
-fn chosen<L>(
+/// Returns the index of the upstream chosen for each of so many requests.
+fn choices<L>(
     (same_domain, other_domains): (usize, usize),
     lookup: L,
     seed: u64,
@@ -36,40 +36,40 @@
     };
     let mut random = StdRng::seed_from_u64(seed);
     let estimate = Estimate::unknown(1.0);
-    let chosen = (0..requests).filter_map(|_| choose(&candidates, &estimate, &mut random));
-    chosen.map(|(_, place)| place).collect()
+    let choices = (0..requests).filter_map(|_| choose(&candidates, &estimate, &mut random));
+    choices.map(|(_, index)| index).collect()
 }
 
-/// Returns how many of a thousand requests a new upstream gets beside one that is known to be quick.
-fn taken_by_newcomer(same_domain: usize, other_domains: usize) -> usize {
+/// Returns how many of a thousand requests a new upstream gets next to one that is known to be fast.
+fn choices_of_newcomer(same_domain: usize, other_domains: usize) -> usize {
     let unknown = Speed::default().uncertainty();
     let lookup =
-        |_, place: usize| Some([candidate(0.1, 0.5, 0.0), candidate(0.1, 1.0, unknown)][place]);
-    let chosen = chosen((same_domain, other_domains), lookup, 1, 1000);
-    chosen.into_iter().filter(|place| *place == 1).count()
+        |_, index: usize| Some([candidate(0.1, 0.5, 0.0), candidate(0.1, 1.0, unknown)][index]);
+    let choices = choices((same_domain, other_domains), lookup, 1, 1000);
+    choices.into_iter().filter(|index| *index == 1).count()
 }
 
 #[test]
 fn in_own_domain() {
-    assert!((5..100).contains(&taken_by_newcomer(2, 0)));
+    assert!((5..100).contains(&choices_of_newcomer(2, 0)));
 }
 
 #[test]
 fn in_others_only() {
-    assert!((5..100).contains(&taken_by_newcomer(0, 2)));
+    assert!((5..100).contains(&choices_of_newcomer(0, 2)));
 }
 
-/// The first upstream that is known looks a little quicker than two of which nothing is known; in
-/// forty requests each of these is tried.
+/// The first upstream to have statistics looks slightly faster than two without; each of these still
+/// gets one of the first forty requests.
 #[test]
 fn beside_first_known() {
     let unknown = Speed::default().uncertainty();
-    let lookup = |_, place: usize| {
-        let slowness = [0.97, 1.0, 1.0][place];
-        Some(candidate(0.0, slowness, [0.1, 1.0, 1.0][place] * unknown))
+    let lookup = |_, index: usize| {
+        let slowness = [0.97, 1.0, 1.0][index];
+        Some(candidate(0.0, slowness, [0.1, 1.0, 1.0][index] * unknown))
     };
     for seed in 0..200 {
-        let tried: HashSet<usize> = chosen((3, 0), lookup, seed, 40).into_iter().collect();
+        let tried: HashSet<usize> = choices((3, 0), lookup, seed, 40).into_iter().collect();
         assert_eq!(tried.len(), 3, "seed {seed}: {tried:?}");
     }
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Plays senders and upstreams under a clock of its own.
+//! A discrete-event simulation of senders and upstreams.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 #![allow(clippy::cast_precision_loss)]
 
 use std::cmp::Reverse;
@@ -16,13 +16,13 @@
 };
 use sailtrack_units::{KindName, Pace};
 
-/// A step of a play, in microseconds.
+/// A simulated time, in microseconds.
 pub type Micros = u64;
 
-/// How often an upstream tells everybody how full it is.
-const PRESENCE: Micros = 600_000;
+/// The interval at which an upstream reports its pressure to all senders.
+const REPORT_INTERVAL: Micros = 600_000;
 
-/// One upstream.
+/// A simulated upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Upstream {
     pub domain: usize,
@@ -30,81 +30,82 @@
     pub speed: f64,
 }
 
-/// One kind of requests.
+/// One kind of request.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind {
     pub name: &'static str,
-    /// Requests in a second, from each domain.
-    pub rates: [f64; 3],
+    /// Requests per second from each domain.
+    pub rates_per_s: [f64; 3],
     pub work_ms: f64,
-    /// The share of requests that takes `tail_x` times as long.
-    pub tail: f64,
-    pub tail_x: f64,
+    /// The share of requests that take `slow_factor` times as long.
+    pub slow_share: f64,
+    pub slow_factor: f64,
     pub timeout_ms: f64,
 }
 
-/// How senders choose.
+/// How senders choose an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Rule {
-    /// By expected finish.
-    Finish,
-    /// The better of two drawn by time and load, as nodes did before.
-    TwoDrawn,
+pub enum Policy {
+    /// By least expected cost, as in this crate.
+    LeastCost,
+    /// By power of two choices on latency and load, as an earlier version did.
+    PowerOfTwo,
 }
 
-/// What is played.
+/// The load and the upstreams of one simulation.
 #[derive(Debug, Clone)]
-pub struct Load {
+pub struct Scenario {
     pub upstreams: Vec<Upstream>,
     pub kinds: Vec<Kind>,
     pub senders: usize,
-    /// The share of instances that are slower at a moment, by how much, and for how long.
+    /// Noise: the share of upstreams that are slow, the factor, and the interval at which slow ones
+    /// are drawn anew.
     pub noise: Option<(f64, f64, Micros)>,
-    /// An upstream that is slower between two moments.
+    /// An upstream that is slowed by a factor between two times.
     pub slowed: Option<(usize, f64, Micros, Micros)>,
-    /// How much later than the answers what they tell comes.
-    pub late: Micros,
-    pub length: Micros,
-    /// What comes earlier is not counted.
-    pub counted_from: Micros,
+    /// How much later than an answer the load report in it arrives.
+    pub report_delay: Micros,
+    pub duration: Micros,
+    /// The time before which nothing is measured.
+    pub measured_from: Micros,
 }
 
-/// What came of a play.
+/// The measurements of one simulation.
 #[derive(Debug, Default, Clone)]
-pub struct Tally {
-    /// For each kind how many were asked and answered in time.
+pub struct Summary {
+    /// For each kind, how many requests were sent and how many were answered in time.
     pub kinds: BTreeMap<&'static str, (u32, u32)>,
-    /// For each kind the sum of the times in seconds.
-    pub times: BTreeMap<&'static str, f64>,
-    /// How many each upstream got in each tenth of a second.
-    pub got: Vec<Vec<u32>>,
-    /// The greatest queue of each upstream.
-    pub queued: Vec<usize>,
-    /// Slots used, over time, of each upstream, as a share.
-    pub used: Vec<f64>,
-    /// How many went from one domain to another in each tenth of a second.
-    pub swapped: Vec<[[u32; 3]; 3]>,
-    /// The sum of what waited, over time and as a share of the slots, of each upstream.
-    pub waited: Vec<f64>,
-    /// What waited at some upstreams while as many slots were free at others, over time and as a
-    /// share of all slots.
+    /// For each kind, the sum of the latencies in seconds.
+    pub latencies: BTreeMap<&'static str, f64>,
+    /// The requests sent to each upstream in each tenth of a second.
+    pub received: Vec<Vec<u32>>,
+    /// The longest queue of each upstream.
+    pub longest_queue: Vec<usize>,
+    /// The average share of slots in use, for each upstream.
+    pub utilization: Vec<f64>,
+    /// The requests sent from each domain to each domain in each tenth of a second.
+    pub domain_flows: Vec<[[u32; 3]; 3]>,
+    /// The average queue of each upstream, as a share of its slots.
+    pub mean_queue: Vec<f64>,
+    /// The average number of requests that were queued at some upstreams while slots were free at
+    /// others, as a share of all slots.
     pub misplaced: f64,
 }
 
-impl Tally {
+impl Summary {
     pub fn in_time(&self, kind: &str) -> f64 {
-        let (asked, served) = self.kinds[kind];
-        f64::from(served) / f64::from(asked.max(1))
+        let (sent, served) = self.kinds[kind];
+        f64::from(served) / f64::from(sent.max(1))
     }
 
     pub fn mean_ms(&self, kind: &str) -> f64 {
-        self.times[kind] * 1000.0 / f64::from(self.kinds[kind].1.max(1))
+        self.latencies[kind] * 1000.0 / f64::from(self.kinds[kind].1.max(1))
     }
 
-    /// Returns the share of all requests that an upstream got between two tenths of a second.
+    /// Returns an upstream's share of all requests between two times in tenths of a second.
     pub fn share(&self, upstream: usize, from: usize, to: usize) -> f64 {
-        let sum = |got: &Vec<u32>| f64::from(got[from..to].iter().sum::<u32>());
-        sum(&self.got[upstream]) / self.got.iter().map(sum).sum::<f64>().max(1.0)
+        let sum = |received: &Vec<u32>| f64::from(received[from..to].iter().sum::<u32>());
+        sum(&self.received[upstream]) / self.received.iter().map(sum).sum::<f64>().max(1.0)
     }
 }
 
@@ -114,59 +115,59 @@
     sender: usize,
     upstream: usize,
     work: f64,
-    began: Micros,
+    sent_at: Micros,
     done: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask(usize, usize),
+    Issue(usize, usize),
     Arrive(usize),
     Finish(usize),
     Answer(usize, u64, u32),
-    Tell(usize),
-    Hear(usize, usize, u64, u32),
-    GiveUp(usize),
+    Report(usize),
+    Receive(usize, usize, u64, u32),
+    Timeout(usize),
 }
 
 struct Sender {
     domain: usize,
-    times: Latencies,
+    latencies: Latencies,
     speeds: Vec<Speed>,
-    news: Vec<LoadReport>,
+    reports: Vec<LoadReport>,
     paces: Vec<PaceReport>,
     outstanding: Vec<u32>,
     shortlist: Shortlist,
-    /// How full the upstreams of the own domain are, and those of the others.
-    levels: [Average; 2],
-    /// What two draws know of the pressure.
-    told: Vec<Option<(Pressure, Instant)>>,
+    /// The average pressure in the same domain, and in the others.
+    averages: [Average; 2],
+    /// For the power of two choices: the last reported pressures.
+    reported: Vec<Option<(Pressure, Instant)>>,
     near: Vec<usize>,
     far: Vec<usize>,
-    /// What two draws know: the mean time, and when it was learned.
+    /// For the power of two choices: the mean latencies in seconds.
     means: Vec<Option<f64>>,
 }
 
 impl Sender {
-    fn hear(&mut self, load: &Load, upstream: usize, now: Instant, pressure: Pressure) {
-        let is_far = load.upstreams[upstream].domain != self.domain;
-        self.levels[usize::from(is_far)].record(now, pressure.0);
+    fn receive(&mut self, scenario: &Scenario, upstream: usize, now: Instant, pressure: Pressure) {
+        let is_far = scenario.upstreams[upstream].domain != self.domain;
+        self.averages[usize::from(is_far)].record(now, pressure.0);
         let outstanding = self.outstanding[upstream];
-        self.news[upstream].record(now, pressure, outstanding);
-        self.told[upstream] = Some((pressure, now));
+        self.reports[upstream].record(now, pressure, outstanding);
+        self.reported[upstream] = Some((pressure, now));
     }
 }
 
-struct Serving {
+struct Server {
     running: u32,
     queue: VecDeque<usize>,
     slow: bool,
-    drawn: Micros,
+    noise_interval: Micros,
 }
 
-struct Play<'a> {
-    load: &'a Load,
-    rule: Rule,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    policy: Policy,
     random: SmallRng,
     start: Instant,
     now: Micros,
@@ -174,43 +175,43 @@
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     requests: Vec<Request>,
     senders: Vec<Sender>,
-    serving: Vec<Serving>,
+    servers: Vec<Server>,
     names: Vec<KindName>,
-    tally: Tally,
+    summary: Summary,
 }
 
-/// Plays a load.
-pub fn play(load: &Load, rule: Rule, seed: u64) -> Tally {
-    let count = load.upstreams.len();
-    let senders = (0..load.senders).map(|number| {
+/// Runs a simulation.
+pub fn simulate(scenario: &Scenario, policy: Policy, seed: u64) -> Summary {
+    let count = scenario.upstreams.len();
+    let senders = (0..scenario.senders).map(|number| {
         let domain = number % 3;
-        let is_near = |place: &usize| load.upstreams[*place].domain == domain;
+        let is_near = |place: &usize| scenario.upstreams[*place].domain == domain;
         let (near, far) = (0..count).partition(is_near);
         Sender {
             domain,
-            times: Latencies::default(),
+            latencies: Latencies::default(),
             speeds: vec![Speed::default(); count],
-            news: vec![LoadReport::default(); count],
+            reports: vec![LoadReport::default(); count],
             paces: vec![PaceReport::default(); count],
             outstanding: vec![0; count],
             shortlist: Shortlist::default(),
-            levels: [Average::default(); 2],
-            told: vec![None; count],
+            averages: [Average::default(); 2],
+            reported: vec![None; count],
             near,
             far,
             means: vec![None; count],
         }
     });
-    let serving = (0..count).map(|_| Serving {
+    let servers = (0..count).map(|_| Server {
         running: 0,
         queue: VecDeque::new(),
         slow: false,
-        drawn: 0,
+        noise_interval: 0,
     });
-    let tenths = usize::try_from(load.length / 100_000 + 1).expect("a short play");
-    let mut play = Play {
-        load,
-        rule,
+    let tenths = usize::try_from(scenario.duration / 100_000 + 1).expect("short enough");
+    let mut simulation = Simulation {
+        scenario,
+        policy,
         random: SmallRng::seed_from_u64(seed),
         start: Instant::now(),
         now: 0,
@@ -218,29 +219,33 @@
         events: BinaryHeap::new(),
         requests: Vec::new(),
         senders: senders.collect(),
-        serving: serving.collect(),
-        names: load
+        servers: servers.collect(),
+        names: scenario
             .kinds
             .iter()
-            .map(|kind| kind.name.parse().expect("a name"))
+            .map(|kind| kind.name.parse().expect("valid name"))
             .collect(),
-        tally: Tally {
-            got: vec![vec![0; tenths]; count],
-            queued: vec![0; count],
-            used: vec![0.0; count],
-            waited: vec![0.0; count],
+        summary: Summary {
+            received: vec![vec![0; tenths]; count],
+            longest_queue: vec![0; count],
+            utilization: vec![0.0; count],
+            mean_queue: vec![0.0; count],
             misplaced: 0.0,
-            swapped: vec![[[0; 3]; 3]; tenths],
-            kinds: load.kinds.iter().map(|kind| (kind.name, (0, 0))).collect(),
-            times: load.kinds.iter().map(|kind| (kind.name, 0.0)).collect(),
+            domain_flows: vec![[[0; 3]; 3]; tenths],
+            kinds: scenario
+                .kinds
+                .iter()
+                .map(|kind| (kind.name, (0, 0)))
+                .collect(),
+            latencies: scenario.kinds.iter().map(|kind| (kind.name, 0.0)).collect(),
         },
     };
-    play.run();
-    play.tally
+    simulation.run();
+    simulation.summary
 }
 
-impl Play<'_> {
-    fn at(&mut self, time: Micros, event: Event) {
+impl Simulation<'_> {
+    fn schedule(&mut self, time: Micros, event: Event) {
         self.order += 1;
         self.events.push(Reverse((time, self.order, event)));
     }
@@ -249,83 +254,84 @@
         self.start + Duration::from_micros(self.now)
     }
 
-    fn counts(&self) -> bool {
-        let end = self.load.length - 2_000_000;
-        (self.load.counted_from..end).contains(&self.now)
+    fn is_measuring(&self) -> bool {
+        let end = self.scenario.duration - 2_000_000;
+        (self.scenario.measured_from..end).contains(&self.now)
     }
 
     fn run(&mut self) {
-        for kind in 0..self.load.kinds.len() {
+        for kind in 0..self.scenario.kinds.len() {
             for domain in 0..3 {
-                self.next_ask(kind, domain);
+                self.schedule_request(kind, domain);
             }
         }
-        for upstream in 0..self.serving.len() {
-            let first = self.random.random_range(0..PRESENCE);
-            self.at(first, Event::Tell(upstream));
+        for upstream in 0..self.servers.len() {
+            let first = self.random.random_range(0..REPORT_INTERVAL);
+            self.schedule(first, Event::Report(upstream));
         }
         while let Some(Reverse((time, _, event))) = self.events.pop() {
-            if time >= self.load.length {
+            if time >= self.scenario.duration {
                 break;
             }
-            self.pass(time);
+            self.advance(time);
             match event {
-                Event::Ask(kind, domain) => {
-                    self.next_ask(kind, domain);
-                    self.ask(kind, domain);
+                Event::Issue(kind, domain) => {
+                    self.schedule_request(kind, domain);
+                    self.issue(kind, domain);
                 }
                 Event::Arrive(request) => self.arrive(request),
                 Event::Finish(request) => self.finish(request),
                 Event::Answer(request, pressure, pace) => self.answer(request, pressure, pace),
-                Event::GiveUp(request) => self.give_up(request),
-                Event::Tell(upstream) => self.tell(upstream),
-                Event::Hear(sender, upstream, percent, pace) => {
+                Event::Timeout(request) => self.time_out(request),
+                Event::Report(upstream) => self.report(upstream),
+                Event::Receive(sender, upstream, percent, pace) => {
                     let now = self.instant();
-                    let pressure = Pressure::from_percent(u32::try_from(percent).expect("small"));
+                    let pressure =
+                        Pressure::from_percent(u32::try_from(percent).expect("small number"));
                     let own = &mut self.senders[sender];
-                    own.hear(self.load, upstream, now, pressure);
-                    own.paces[upstream].record(now, Pace::from_percent(pace).expect("sound"));
+                    own.receive(self.scenario, upstream, now, pressure);
+                    own.paces[upstream].record(now, Pace::from_percent(pace).expect("valid pace"));
                 }
             }
         }
     }
 
-    /// Adds up what is used and waits until `time`.
-    fn pass(&mut self, time: Micros) {
-        if self.counts() {
-            let span = self.load.length - 2_000_000 - self.load.counted_from;
+    /// Advances the clock to `time` and adds up what was in use and queued until then.
+    fn advance(&mut self, time: Micros) {
+        if self.is_measuring() {
+            let span = self.scenario.duration - 2_000_000 - self.scenario.measured_from;
             let part = (time - self.now) as f64 / span as f64;
             let (mut free, mut waiting, mut all) = (0, 0, 0);
-            for (place, serving) in self.serving.iter().enumerate() {
-                let slots = f64::from(self.load.upstreams[place].slots);
-                self.tally.used[place] += part * f64::from(serving.running) / slots;
-                self.tally.waited[place] += part * serving.queue.len() as f64 / slots;
-                free += self.load.upstreams[place].slots - serving.running;
-                waiting += u32::try_from(serving.queue.len()).expect("few");
-                all += self.load.upstreams[place].slots;
+            for (place, server) in self.servers.iter().enumerate() {
+                let slots = f64::from(self.scenario.upstreams[place].slots);
+                self.summary.utilization[place] += part * f64::from(server.running) / slots;
+                self.summary.mean_queue[place] += part * server.queue.len() as f64 / slots;
+                free += self.scenario.upstreams[place].slots - server.running;
+                waiting += u32::try_from(server.queue.len()).expect("small number");
+                all += self.scenario.upstreams[place].slots;
             }
-            self.tally.misplaced += part * f64::from(free.min(waiting)) / f64::from(all);
+            self.summary.misplaced += part * f64::from(free.min(waiting)) / f64::from(all);
         }
         self.now = time;
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn next_ask(&mut self, kind: usize, domain: usize) {
-        let rate = self.load.kinds[kind].rates[domain];
+    fn schedule_request(&mut self, kind: usize, domain: usize) {
+        let rate = self.scenario.kinds[kind].rates_per_s[domain];
         if rate > 0.0 {
             let draw: f64 = self.random.random_range(1e-9..1.0);
             let gap = (-draw.ln() / rate * 1e6) as Micros;
-            self.at(self.now + gap.max(1), Event::Ask(kind, domain));
+            self.schedule(self.now + gap.max(1), Event::Issue(kind, domain));
         }
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn ask(&mut self, kind: usize, domain: usize) {
-        let drawn = self.load.kinds[kind];
-        let sender = self.random.random_range(0..self.load.senders / 3) * 3 + domain;
+    fn issue(&mut self, kind: usize, domain: usize) {
+        let spec = self.scenario.kinds[kind];
+        let sender = self.random.random_range(0..self.scenario.senders / 3) * 3 + domain;
         let spread = self.random.random_range(0.6..1.4);
-        let tail = if self.random.random_bool(drawn.tail) {
-            drawn.tail_x
+        let factor = if self.random.random_bool(spec.slow_share) {
+            spec.slow_factor
         } else {
             1.0
         };
@@ -335,25 +341,25 @@
             kind,
             sender,
             upstream,
-            work: drawn.work_ms * 1000.0 * if tail > 1.0 { tail } else { spread },
-            began: self.now,
+            work: spec.work_ms * 1000.0 * if factor > 1.0 { factor } else { spread },
+            sent_at: self.now,
             done: false,
         });
-        let tenth = usize::try_from(self.now / 100_000).expect("a short play");
-        self.tally.got[upstream][tenth] += 1;
-        self.tally.swapped[tenth][domain][self.load.upstreams[upstream].domain] += 1;
-        if self.counts() {
-            self.tally.kinds.get_mut(drawn.name).expect("known").0 += 1;
+        let tenth = usize::try_from(self.now / 100_000).expect("short enough");
+        self.summary.received[upstream][tenth] += 1;
+        self.summary.domain_flows[tenth][domain][self.scenario.upstreams[upstream].domain] += 1;
+        if self.is_measuring() {
+            self.summary.kinds.get_mut(spec.name).expect("known kind").0 += 1;
         }
         self.senders[sender].outstanding[upstream] += 1;
-        let way = self.way(sender, upstream);
-        self.at(self.now + way, Event::Arrive(request));
-        let timeout = (drawn.timeout_ms * 1000.0) as Micros;
-        self.at(self.now + timeout, Event::GiveUp(request));
+        let network_delay = self.network_delay(sender, upstream);
+        self.schedule(self.now + network_delay, Event::Arrive(request));
+        let timeout = (spec.timeout_ms * 1000.0) as Micros;
+        self.schedule(self.now + timeout, Event::Timeout(request));
     }
 
-    fn way(&self, sender: usize, upstream: usize) -> Micros {
-        if self.senders[sender].domain == self.load.upstreams[upstream].domain {
+    fn network_delay(&self, sender: usize, upstream: usize) -> Micros {
+        if self.senders[sender].domain == self.scenario.upstreams[upstream].domain {
             200
         } else {
             900
@@ -362,23 +368,23 @@
 
     fn choose(&mut self, sender: usize, kind: usize) -> usize {
         let now = self.instant();
-        let timeout = Duration::from_secs_f64(self.load.kinds[kind].timeout_ms / 1000.0);
+        let timeout = Duration::from_secs_f64(self.scenario.kinds[kind].timeout_ms / 1000.0);
         let Sender {
-            times,
+            latencies,
             speeds,
-            news,
+            reports,
             paces,
             outstanding,
             shortlist,
             near,
             far,
             means,
-            levels,
-            told,
+            averages,
+            reported,
             ..
         } = &self.senders[sender];
-        let slots = |place: usize| self.load.upstreams[place].slots;
-        if self.rule == Rule::TwoDrawn {
+        let slots = |place: usize| self.scenario.upstreams[place].slots;
+        if self.policy == Policy::PowerOfTwo {
             let known: Vec<f64> = means.iter().flatten().copied().collect();
             let usual = known.iter().sum::<f64>() / known.len().max(1) as f64;
             let cost = |place: usize| {
@@ -387,8 +393,9 @@
             };
             let pressure = |place: usize| {
                 let own = Pressure::of(outstanding[place] as usize, slots(place) as usize);
-                let told = told[place].map(|(told, heard)| told.decayed(heard, now));
-                told.unwrap_or_default().max(own)
+                let reported = reported[place]
+                    .map(|(reported, received_at)| reported.decayed(received_at, now));
+                reported.unwrap_or_default().max(own)
             };
             let mut pick = |of: &Vec<usize>| {
                 let first = of.get(self.random.random_range(0..of.len().max(1)))?;
@@ -401,7 +408,7 @@
             };
             return match (pick(near), pick(far)) {
                 (Some(near), Some(far)) if pressure(near).spills_to(pressure(far)) => far,
-                (near, far) => near.or(far).expect("some upstream"),
+                (near, far) => near.or(far).expect("at least one upstream"),
             };
         }
         let place = |locality, place: usize| match locality {
@@ -413,41 +420,43 @@
             other_domains: far.len(),
             lookup: |locality, at| {
                 let at = place(locality, at);
-                let level = &levels[usize::from(locality == Locality::OtherDomain)];
+                let average = &averages[usize::from(locality == Locality::OtherDomain)];
                 Some(Candidate {
                     is_available: true,
-                    pressure: news[at].pressure(now, outstanding[at], slots(at), level).0,
+                    pressure: reports[at]
+                        .pressure(now, outstanding[at], slots(at), average)
+                        .0,
                     failure_rate: 0.0,
                     slowness: speeds[at].slowness(now) * paces[at].factor(now),
                     uncertainty: speeds[at].uncertainty(),
                 })
             },
-            pressure_gap: levels[0].at(now) - levels[1].at(now),
+            pressure_gap: averages[0].at(now) - averages[1].at(now),
             shortlist,
         };
-        let estimate = times.estimate(&self.names[kind], timeout);
+        let estimate = latencies.estimate(&self.names[kind], timeout);
         let (locality, at) =
-            choose(&candidates, &estimate, &mut self.random).expect("some upstream");
+            choose(&candidates, &estimate, &mut self.random).expect("at least one upstream");
         place(locality, at)
     }
 
-    /// Returns how many times as long as usual work takes now.
+    /// Returns the factor by which work currently takes longer than usual.
     fn pace(&mut self, upstream: usize) -> f64 {
-        if let Some((slowed, by, from, to)) = self.load.slowed
+        if let Some((slowed, by, from, to)) = self.scenario.slowed
             && slowed == upstream
             && (from..to).contains(&self.now)
         {
             return by;
         }
-        let Some((share, by, every)) = self.load.noise else {
+        let Some((share, by, every)) = self.scenario.noise else {
             return 1.0;
         };
-        let slot = self.now / every + 1;
-        if self.serving[upstream].drawn != slot {
-            self.serving[upstream].drawn = slot;
-            self.serving[upstream].slow = self.random.random_bool(share);
+        let interval = self.now / every + 1;
+        if self.servers[upstream].noise_interval != interval {
+            self.servers[upstream].noise_interval = interval;
+            self.servers[upstream].slow = self.random.random_bool(share);
         }
-        if self.serving[upstream].slow { by } else { 1.0 }
+        if self.servers[upstream].slow { by } else { 1.0 }
     }
 
     fn arrive(&mut self, request: usize) {
@@ -455,15 +464,15 @@
             return;
         }
         let upstream = self.requests[request].upstream;
-        let serving = &mut self.serving[upstream];
-        if serving.running < self.load.upstreams[upstream].slots {
+        let server = &mut self.servers[upstream];
+        if server.running < self.scenario.upstreams[upstream].slots {
             self.start(request);
         } else {
-            serving.queue.push_back(request);
-            let waiting = serving.queue.len();
-            if self.counts() {
-                let queued = &mut self.tally.queued[upstream];
-                *queued = (*queued).max(waiting);
+            server.queue.push_back(request);
+            let waiting = server.queue.len();
+            if self.is_measuring() {
+                let longest_queue = &mut self.summary.longest_queue[upstream];
+                *longest_queue = (*longest_queue).max(waiting);
             }
         }
     }
@@ -471,10 +480,10 @@
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn start(&mut self, request: usize) {
         let upstream = self.requests[request].upstream;
-        self.serving[upstream].running += 1;
+        self.servers[upstream].running += 1;
         let pace = self.pace(upstream);
-        let time = self.requests[request].work / self.load.upstreams[upstream].speed * pace;
-        self.at(self.now + time as Micros, Event::Finish(request));
+        let time = self.requests[request].work / self.scenario.upstreams[upstream].speed * pace;
+        self.schedule(self.now + time as Micros, Event::Finish(request));
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -482,8 +491,8 @@
         let Request {
             upstream, sender, ..
         } = self.requests[request];
-        self.serving[upstream].running -= 1;
-        while let Some(next) = self.serving[upstream].queue.pop_front() {
+        self.servers[upstream].running -= 1;
+        while let Some(next) = self.servers[upstream].queue.pop_front() {
             if !self.requests[next].done {
                 self.start(next);
                 break;
@@ -494,10 +503,13 @@
         }
         let percent = self.percent(upstream);
         let pace = (self.pace(upstream) * 100.0) as u32;
-        let way = self.way(sender, upstream);
-        let heard = self.now + way + self.load.late;
-        self.at(heard, Event::Hear(sender, upstream, percent, pace));
-        self.at(self.now + way, Event::Answer(request, percent, pace));
+        let network_delay = self.network_delay(sender, upstream);
+        let received_at = self.now + network_delay + self.scenario.report_delay;
+        self.schedule(received_at, Event::Receive(sender, upstream, percent, pace));
+        self.schedule(
+            self.now + network_delay,
+            Event::Answer(request, percent, pace),
+        );
     }
 
     fn answer(&mut self, request: usize, percent: u64, pace: u32) {
@@ -508,16 +520,16 @@
             upstream,
             sender,
             kind,
-            began,
+            sent_at,
             ..
         } = ended;
-        let time = Duration::from_micros(self.now - began);
-        if (self.load.counted_from..self.load.length - 2_000_000).contains(&began) {
-            let name = self.load.kinds[kind].name;
-            self.tally.kinds.get_mut(name).expect("known").1 += 1;
-            *self.tally.times.get_mut(name).expect("known") += time.as_secs_f64();
+        let time = Duration::from_micros(self.now - sent_at);
+        if (self.scenario.measured_from..self.scenario.duration - 2_000_000).contains(&sent_at) {
+            let name = self.scenario.kinds[kind].name;
+            self.summary.kinds.get_mut(name).expect("known kind").1 += 1;
+            *self.summary.latencies.get_mut(name).expect("known kind") += time.as_secs_f64();
         }
-        let pressure = Pressure::from_percent(u32::try_from(percent).expect("small"));
+        let pressure = Pressure::from_percent(u32::try_from(percent).expect("small number"));
         let sample = Sample {
             time,
             pressure: pressure.0,
@@ -531,28 +543,33 @@
     }
 
     fn percent(&self, upstream: usize) -> u64 {
-        let serving = &self.serving[upstream];
-        let calls = u64::from(serving.running) + serving.queue.len() as u64;
-        calls * 100 / u64::from(self.load.upstreams[upstream].slots)
+        let server = &self.servers[upstream];
+        let calls = u64::from(server.running) + server.queue.len() as u64;
+        calls * 100 / u64::from(self.scenario.upstreams[upstream].slots)
     }
 
-    /// Tells every sender how full an upstream is.
-    fn tell(&mut self, upstream: usize) {
-        self.at(self.now + PRESENCE, Event::Tell(upstream));
-        let percent = u32::try_from(self.percent(upstream)).expect("small");
+    /// Reports the pressure of an upstream to all senders.
+    fn report(&mut self, upstream: usize) {
+        self.schedule(self.now + REPORT_INTERVAL, Event::Report(upstream));
+        let percent = u32::try_from(self.percent(upstream)).expect("small number");
         let now = self.instant();
         for sender in &mut self.senders {
-            sender.hear(self.load, upstream, now, Pressure::from_percent(percent));
+            sender.receive(
+                self.scenario,
+                upstream,
+                now,
+                Pressure::from_percent(percent),
+            );
         }
     }
 
-    fn give_up(&mut self, request: usize) {
+    fn time_out(&mut self, request: usize) {
         let Some(ended) = self.end(request) else {
             return;
         };
         let pace = self.senders[ended.sender].paces[ended.upstream].factor(self.instant());
         let sample = Sample {
-            time: Duration::from_micros(self.now - ended.began),
+            time: Duration::from_micros(self.now - ended.sent_at),
             pressure: 0.0,
             pace,
             is_answered: false,
@@ -560,7 +577,7 @@
         self.learn(&ended, sample);
     }
 
-    /// Takes in that nobody waits for a request any more; returns it the first time.
+    /// Marks a request as done; returns it the first time.
     fn end(&mut self, request: usize) -> Option<Request> {
         let ended = self.requests[request];
         if ended.done {
@@ -571,12 +588,12 @@
         Some(ended)
     }
 
-    /// Lets the sender of a request learn how long it took.
+    /// Records the latency of a request in the statistics of its sender.
     fn learn(&mut self, ended: &Request, sample: Sample) {
         let now = self.instant();
         let own = &mut self.senders[ended.sender];
         let speed = &mut own.speeds[ended.upstream];
-        own.times
+        own.latencies
             .record(&self.names[ended.kind], speed, now, sample);
     }
 }
