--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -74,7 +74,7 @@
     started: Instant,
     completed: u32,
     /// The sum of the slowness of each call: its self time divided by its baseline.
-    slowness: f64,
+    slowness_sum: f64,
     saturated: bool,
 }
 
@@ -83,7 +83,7 @@
         Self {
             started: now,
             completed: 0,
-            slowness: 0.0,
+            slowness_sum: 0.0,
             saturated: false,
         }
     }
@@ -95,7 +95,7 @@
     }
 
     fn slowness(&self) -> f64 {
-        self.slowness / f64::from(self.completed.max(1))
+        self.slowness_sum / f64::from(self.completed.max(1))
     }
 
     fn throughput(&self, now: Instant) -> f64 {
@@ -190,7 +190,7 @@
         lightly_loaded: bool,
     ) {
         self.window.completed += 1;
-        self.window.slowness += self.slowness(kind, self_time.as_secs_f64(), lightly_loaded);
+        self.window.slowness_sum += self.slowness(kind, self_time.as_secs_f64(), lightly_loaded);
         if self.window.is_complete(now) {
             let window = std::mem::replace(&mut self.window, Window::open(now));
             self.evaluate(now, &window);
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -51,7 +51,7 @@
 struct Round {
     started: Instant,
     samples: u32,
-    pressure: f64,
+    pressure_sum: f64,
     /// The maximum number of requests in progress at once.
     peak: u32,
 }
@@ -61,13 +61,13 @@
         Self {
             started: now,
             samples: 0,
-            pressure: 0.0,
+            pressure_sum: 0.0,
             peak: in_progress,
         }
     }
 
     fn mean(&self) -> f64 {
-        self.pressure / f64::from(self.samples.max(1))
+        self.pressure_sum / f64::from(self.samples.max(1))
     }
 }
 
@@ -122,7 +122,7 @@
         let known = if self.time > 0.0 { self.time } else { time };
         self.time = known + (time - known) * TIME_WEIGHT;
         self.round.samples += 1;
-        self.round.pressure += pressure.0;
+        self.round.pressure_sum += pressure.0;
         let age = now.saturating_duration_since(self.round.started);
         let long_enough = age >= MIN_ROUND && age.as_secs_f64() >= self.time;
         let is_small = self.size.is_some_and(|size| size < 1.0);
--- a/crates/placement/src/latencies.rs
+++ b/crates/placement/src/latencies.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone)]
 struct Latency {
     /// The average of the logarithm of the seconds.
-    log_latency: f64,
+    mean_log: f64,
     /// The average of the seconds.
     mean: f64,
     counts: [f32; BUCKETS],
@@ -74,13 +74,13 @@
             }
             return;
         };
-        let expected = known.log_latency + speed.log_slowness(now);
+        let expected = known.mean_log + speed.log_slowness(now);
         if !sample.is_answered && time.ln() <= expected {
             // The wait ended before an answer was expected, so it carries no information.
             return;
         }
         let log_latency = time.ln();
-        speed.record(now, log_latency - known.log_latency);
+        speed.record(now, log_latency - known.mean_log);
         known.record(now, time / slowness, log_latency - expected);
         self.update_mean(time / slowness);
     }
@@ -116,7 +116,7 @@
             oldest.map(|name| self.kinds.remove(&name));
         }
         let mut known = Latency {
-            log_latency: time.ln(),
+            mean_log: time.ln(),
             mean: time,
             counts: [0.0; BUCKETS],
             total: 0.0,
@@ -136,7 +136,7 @@
 
 impl Latency {
     fn record(&mut self, now: Instant, time: f64, deviation: f64) {
-        self.log_latency += deviation.clamp(-1.0, 1.0) * LOG_WEIGHT;
+        self.mean_log += deviation.clamp(-1.0, 1.0) * LOG_WEIGHT;
         self.mean += (time - self.mean) * MEAN_WEIGHT;
         self.last_answer = now;
         self.count(time);
