--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -13,9 +13,9 @@
 use crate::contexts::{Context, Contexts};
 use crate::dialect::FieldNames;
 use crate::entry::answer::Refusal;
-use crate::entry::caller::{Caller, KeyRefusal};
+use crate::entry::caller::{Caller, CredentialError};
 use crate::key::AttemptKey;
-use crate::work::Work;
+use crate::request::Request;
 
 /// A request whose body has not been read yet.
 pub(super) struct Incoming {
@@ -25,7 +25,7 @@
     pub(super) route: Rc<Route>,
     /// The request that it is made for, if that runs in the own upstream.
     pub(super) parent: Option<Rc<Context>>,
-    pub(super) caller: Result<Caller, KeyRefusal>,
+    pub(super) caller: Result<Caller, CredentialError>,
     pub(super) came: Instant,
     pub(super) deadline: Moment,
 }
@@ -139,13 +139,13 @@
         caller: &ServiceName,
         service: ServiceName,
         Received { body, identity }: Received,
-    ) -> Work {
+    ) -> Request {
         let parent = self.parent.as_ref();
         let workspace = match self.workspace() {
             Some(workspace) => Some(workspace.name.clone()),
             None => parent.and_then(|parent| parent.workspace.clone()),
         };
-        Work {
+        Request {
             attempt: self.attempt.clone(),
             identity,
             known_crashes: 0,
@@ -155,9 +155,9 @@
             rank: self.rank(),
             class: self.class(),
             workspace,
-            progress: parent.map_or(0, |parent| parent.answered.get()),
-            begun: parent.is_some(),
-            repeated: parent.is_some_and(|parent| parent.repeated),
+            completed_calls: parent.map_or(0, |parent| parent.successful_calls.get()),
+            is_nested: parent.is_some(),
+            is_retry: parent.is_some_and(|parent| parent.repeated),
             deadline: self.deadline,
             head: self.passed_on(fields, caller, body.len()),
             body,
--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -87,12 +87,12 @@
     }
 
     /// Returns true if keys are believed for a bounded time only.
-    pub(crate) fn is_wanted(&self) -> bool {
+    pub(crate) fn is_bounded(&self) -> bool {
         self.bound.get().is_some()
     }
 
     /// Returns how long a follower of the store waits for changes, if it has to ask again soon.
-    pub(crate) fn renewal(&self, now: Moment) -> Option<Duration> {
+    pub(crate) fn poll_interval(&self, now: Moment) -> Option<Duration> {
         let renewal = self.bound.get()? / RENEWALS;
         Some(if self.is_settling(now) || self.is_new(now) {
             renewal.min(SETTLE)
@@ -103,14 +103,14 @@
 
     /// Returns true while other nodes are given time to tell of versions that a copy lacks.
     fn is_settling(&self, now: Moment) -> bool {
-        let copied = self.clock.copied();
+        let copied = self.clock.restored_at();
         copied.is_some_and(|copied| now.since(copied) < SETTLE)
     }
 
     /// Returns true while a node that starts has had little time to meet others: what it reads may be
     /// from a copy.
     fn is_new(&self, now: Moment) -> bool {
-        let met = self.clock.met();
+        let met = self.clock.first_era_seen_at();
         met.is_some_and(|met| now.since(met) < SETTLE)
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Takes in that another node has a version.
-    pub(crate) fn note_newest(&self, version: ConfigVersion) {
+    pub(crate) fn observe_version(&self, version: ConfigVersion) {
         self.newest.set(self.newest.get().max(version));
     }
 
@@ -140,7 +140,7 @@
         in_force: ConfigVersion,
         now: Moment,
     ) -> bool {
-        self.clock.note_shown(now, as_of);
+        self.clock.record_observed_time(now, as_of);
         let era = self.clock.era();
         if version > in_force {
             self.ahead.replace(Some(Confirmation {
@@ -155,7 +155,7 @@
         if is_behind || self.is_settling(now) {
             return false;
         }
-        let at_most = self.clock.at_most(now);
+        let at_most = self.clock.upper_bound(now);
         let is_ahead = |time: StoreTime| at_most.is_some_and(|at_most| time > at_most);
         // Before the first reading of an era its times say nothing, and what was proved before holds.
         if is_ahead(as_of) || at_most.is_none() && era > Era::default() {
@@ -166,7 +166,7 @@
         let known = known.filter(|known| !is_ahead(known.as_of));
         let is_news = known.is_none_or(|known| as_of > known.as_of);
         if is_news {
-            let age = self.clock.age_at_most(as_of, now).unwrap_or_default();
+            let age = self.clock.max_age(as_of, now).unwrap_or_default();
             let at = now.before(age);
             self.proof.set(Some(Proof { as_of, era, at }));
         }
@@ -174,7 +174,7 @@
     }
 
     /// Takes in that a version came into force.
-    pub(crate) fn note_version(&self, in_force: ConfigVersion, now: Moment) {
+    pub(crate) fn apply_version(&self, in_force: ConfigVersion, now: Moment) {
         let ahead = self.ahead.take();
         let ahead = ahead.filter(|ahead| ahead.era == self.clock.era());
         if let Some(Confirmation { version, as_of, .. }) = ahead {
@@ -198,21 +198,21 @@
     /// A proof of an earlier era still says what was the newest then, and ages by the own clock.
     pub(crate) fn age(&self, now: Moment) -> Option<Duration> {
         if let Some(known) = self.known() {
-            return self.clock.age_at_most(known.as_of, now);
+            return self.clock.max_age(known.as_of, now);
         }
         let passed = now.since(self.proof.get()?.at);
         Some(passed + passed.mul_f64(CLOCK_DRIFT))
     }
 
     /// Returns true if a request with a key that came now may run.
-    pub(crate) fn is_enough(&self, now: Moment) -> bool {
+    pub(crate) fn is_fresh(&self, now: Moment) -> bool {
         let Some(bound) = self.bound.get() else {
             return true;
         };
         let age = self.age(now);
-        let is_enough = age.is_some_and(|age| age + RESERVE < bound);
-        self.note(!is_enough, age);
-        is_enough
+        let is_fresh = age.is_some_and(|age| age + RESERVE < bound);
+        self.note(!is_fresh, age);
+        is_fresh
     }
 
     fn note(&self, is_stopped: bool, age: Option<Duration>) {
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -11,15 +11,15 @@
 use sailtrack_net::task;
 
 use crate::clock;
-use crate::configuration::{Current, Fetch, Holder};
+use crate::configuration::{Current, Fetcher, Provider};
 use crate::directory::Directory;
 use crate::freshness::Freshness;
 use crate::gate::{Gate, Upstream};
+use crate::gossip::publish_periodically;
 use crate::metrics::Metrics;
-use crate::news::keep_telling;
 use crate::node::Surroundings;
 use crate::peer::Peers;
-use crate::quota::{Allocation, Asker, Quotas};
+use crate::quota::{Election, Fetcher as TokenFetcher, Quotas};
 use crate::reload::{Parts, Reload};
 use crate::settings::Settings;
 use crate::status::Status;
@@ -39,30 +39,30 @@
     let gate = table.find::<Gate>()?;
     let service = settings.identity.service.clone();
     let bounded = Rc::clone(&current);
-    current.listen(move || {
+    current.on_change(move || {
         let configuration = bounded.get();
         let rules = configuration
             .as_ref()
             .and_then(|known| known.service(&service));
         if let Some(rules) = rules {
-            gate.bound_connections(rules.connections);
+            gate.limit_connections(rules.connections);
         }
         if let Some(known) = &configuration {
-            gate.bound_time(known.longest_timeout());
+            gate.limit_request_time(known.longest_timeout());
         }
     });
     let gate = table.find::<Gate>()?;
     let upstream = table.find::<Upstream>()?;
-    upstream.listen_to_new(move || gate.note_new_life());
+    upstream.on_new_incarnation(move || gate.handle_new_incarnation());
     let metrics = table.find::<Metrics>()?;
     let counted = Rc::clone(&current);
-    current.listen(move || {
+    current.on_change(move || {
         metrics.bound(counted.get().map_or(0, |current| current.route_count()));
     });
     let status = table.find::<Status>()?;
     let told = Rc::clone(&status);
-    current.listen(move || told.publish());
-    upstream.listen(move || status.publish());
+    current.on_change(move || told.publish());
+    upstream.on_availability_change(move || status.publish());
     Ok(())
 }
 
@@ -89,28 +89,28 @@
     let quotas = table.find::<Quotas>()?;
     let freshness = table.find::<Freshness>()?;
     let changed = Rc::clone(&current);
-    current.listen(move || {
-        quotas.take_limits(changed.get().as_deref());
-        freshness.note_version(changed.version(), clock::now());
+    current.on_change(move || {
+        quotas.set_limits(changed.get().as_deref());
+        freshness.apply_version(changed.version(), clock::now());
     });
-    let asker = Asker {
+    let fetcher = TokenFetcher {
         quotas: table.find()?,
         peers: table.find()?,
     };
-    task::spawn("token questions", asker.keep_asking(wishes));
-    let allocation = table.install(Allocation {
+    task::spawn("token questions", fetcher.run(wishes));
+    let election = table.install(Election {
         quotas: table.find()?,
         peers: table.find()?,
         watch: table.find()?,
         status: table.find()?,
         store: Rc::clone(&surroundings.store),
         started: Instant::now(),
-        renewed: Cell::default(),
-        missing: Cell::default(),
-        unreadable: Cell::default(),
-        resigned: Cell::new(false),
+        last_renewal: Cell::default(),
+        missing_since: Cell::default(),
+        unreadable_since: Cell::default(),
+        has_resigned: Cell::new(false),
     });
-    task::spawn("token allocation", allocation.keep());
+    task::spawn("token allocation", election.run());
     Ok(())
 }
 
@@ -121,7 +121,7 @@
     let peers = table.find::<Peers>()?;
     let life = table.find::<Status>()?.life;
     let started = Instant::now();
-    table.find::<Upstream>()?.listen_to_new(move || {
+    table.find::<Upstream>()?.on_new_incarnation(move || {
         if started.elapsed() > YOUNG_TIME {
             return;
         }
@@ -129,7 +129,7 @@
         let (windows, peers) = (Rc::clone(&windows), Rc::clone(&peers));
         task::spawn("ramp up", async move {
             while started.elapsed() < YOUNG_TIME {
-                if peers.are_older(life, YOUNG_TIME) {
+                if peers.majority_started_before(life, YOUNG_TIME) {
                     windows.end_ramp_up();
                     return;
                 }
@@ -141,16 +141,16 @@
 }
 
 /// Starts what tells other nodes and asks them.
-pub(super) fn meet_peers(table: &Table, holders: mpsc::Receiver<Holder>) -> Result<(), Error> {
+pub(super) fn meet_peers(table: &Table, providers: mpsc::Receiver<Provider>) -> Result<(), Error> {
     let status = table.find::<Status>()?;
     let directory = table.find::<Directory>()?;
-    task::spawn("presence", keep_telling(status, directory));
+    task::spawn("presence", publish_periodically(status, directory));
     task::spawn("wake", table.find::<Wake>()?.keep_looking());
-    let fetch = Fetch {
+    let fetch = Fetcher {
         peers: table.find()?,
         current: table.find()?,
         watch: table.find()?,
     };
-    task::spawn("configuration fetch", fetch.keep_fetching(holders));
+    task::spawn("configuration fetch", fetch.run(providers));
     Ok(())
 }
--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -31,13 +31,13 @@
 use crate::gate::Gate;
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::peer::convert::{CHUNK, FIRST_GRANT, returned_to_wire, work_from_wire};
-use crate::peer::parts::Parts;
+use crate::peer::reassembly::Reassembly;
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
+use crate::request::Response;
 use crate::retired::Retired;
 use crate::status::Status;
 use crate::store::{Clock, StoreTime};
-use crate::work::Returned;
 
 /// How long a new connection may take to say hello.
 const HELLO_TIME: Duration = Duration::from_secs(2);
@@ -66,7 +66,7 @@
 #[derive(Default)]
 struct Open {
     running: RefCell<HashMap<u64, AbortHandle>>,
-    arriving: RefCell<HashMap<u64, Parts<Forward>>>,
+    arriving: RefCell<HashMap<u64, Reassembly<Forward>>>,
     /// Where the grants for streamed answers go.
     granting: RefCell<HashMap<u64, mpsc::UnboundedSender<u32>>>,
 }
@@ -102,7 +102,7 @@
         self.meet(&said);
         let introduction = Body::Presence(self.status.introduction());
         let welcome = [hello(self.status.member()), introduction];
-        let welcome = welcome.into_iter().chain(self.quarantine.introduction());
+        let welcome = welcome.into_iter().chain(self.quarantine.snapshot());
         for message in welcome {
             if outgoing.send(message).await.is_err() {
                 return;
@@ -128,7 +128,7 @@
             return;
         };
         match Member::from_wire(member) {
-            Ok(member) => self.directory.learn(member),
+            Ok(member) => self.directory.upsert(member),
             Err(error) => refuse(&error),
         }
     }
@@ -175,7 +175,7 @@
     }
 
     fn pong(&self) -> Pong {
-        let at_most = self.clock.told_at_most(clock::now());
+        let at_most = self.clock.published_bound(clock::now());
         Pong {
             store_at_most_ms: at_most.map_or(0, StoreTime::millis),
             store_era: self.clock.era().0,
@@ -196,7 +196,7 @@
             return;
         }
         let first = std::mem::take(&mut message.body);
-        match Parts::new(message, &first, length) {
+        match Reassembly::new(message, &first, length) {
             Some(parts) => {
                 open.arriving.borrow_mut().insert(exchange, parts);
             }
@@ -234,13 +234,13 @@
         let too_many = open.running.borrow().len() >= MOST_OPEN;
         let work = async move {
             if too_many {
-                return Returned::refused(Reason::Overload);
+                return Response::refused(Reason::Overload);
             }
             match work_from_wire(message) {
                 Ok(work) => acceptor.gate.run(work).await,
                 Err(error) => {
                     refuse(&error);
-                    Returned::refused(Reason::Undeclared)
+                    Response::refused(Reason::Undeclared)
                 }
             }
         };
@@ -252,7 +252,7 @@
         let exchange = recall.exchange;
         let work = async move {
             if Incarnation(recall.incarnation) != acceptor.status.life {
-                return Returned::unknown(Reason::HomeGone);
+                return Response::unknown(Reason::HomeGone);
             }
             let attempt = AttemptKey::from(recall.id.as_str());
             acceptor.gate.recall(&attempt).await
@@ -293,7 +293,7 @@
     let member = said.member.as_ref()?;
     Some(Holder {
         node: member.node.parse().ok()?,
-        life: member.incarnation,
+        incarnation: member.incarnation,
     })
 }
 
@@ -307,7 +307,7 @@
 /// Runs `work` in a task of its own and sends what comes of it, unless it is cancelled before.
 fn spawn_answer(
     exchange: u64,
-    work: impl Future<Output = Returned> + 'static,
+    work: impl Future<Output = Response> + 'static,
     outgoing: &mpsc::Sender<Body>,
     open: &Rc<Open>,
 ) {
@@ -328,7 +328,7 @@
 }
 
 /// Sends what became of a request, a long body in chunks so that others are not held up.
-async fn send(outgoing: &mut mpsc::Sender<Body>, exchange: u64, returned: Returned, open: &Open) {
+async fn send(outgoing: &mut mpsc::Sender<Body>, exchange: u64, returned: Response, open: &Open) {
     let mut reply = returned_to_wire(exchange, &returned);
     match returned.body {
         AnswerBody::Whole(mut rest) => {
--- a/crates/mesh/src/quota/expiry.rs
+++ b/crates/mesh/src/quota/expiry.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use sailtrack_quota::{LEASE, Lease};
+use sailtrack_quota::{LEASE_DURATION, Lease};
 use sailtrack_units::{Era, Moment};
 
 use crate::store::{CLOCK_ERROR, Clock, StoreTime};
@@ -25,7 +25,7 @@
         Self {
             until: StoreTime::from_millis(lease.until_ms),
             era: Era(lease.era),
-            until_here: asked + LEASE,
+            until_here: asked + LEASE_DURATION,
         }
     }
 
@@ -39,7 +39,7 @@
         if clock.era() != self.era {
             return true;
         }
-        let at_most = clock.at_most(now);
+        let at_most = clock.upper_bound(now);
         let is_ahead = |at_most: StoreTime| at_most.0 + CLOCK_ERROR < self.until.0;
         at_most.is_some_and(is_ahead)
     }
--- a/crates/mesh/src/routing/load.rs
+++ b/crates/mesh/src/routing/load.rs
@@ -12,7 +12,7 @@
 use sailtrack_units::{Class, Importance, KindName, Pace};
 use sailtrack_wire::{Outcome, Reason};
 
-use crate::work::Returned;
+use crate::request::Response;
 
 /// The weight of the newest answer in the share of failures.
 const NEWEST_WEIGHT: f64 = 0.1;
@@ -68,7 +68,7 @@
 
 impl PeerLoad {
     /// Returns what is known at first of a node whose service and side are this full.
-    pub(crate) fn beside(levels: &Rc<RefCell<Levels>>) -> Self {
+    pub(crate) fn with_levels(levels: &Rc<RefCell<Levels>>) -> Self {
         Self {
             levels: Rc::clone(levels),
             ..Self::default()
@@ -76,7 +76,7 @@
     }
 
     /// Notes how full the node says that it is, and the pace of its instance.
-    pub(crate) fn note_told(&mut self, now: Instant, percent: u32, pace: Option<Pace>) {
+    pub(crate) fn record_report(&mut self, now: Instant, percent: u32, pace: Option<Pace>) {
         let pressure = Pressure::from_percent(percent);
         self.note_news(now, Importance::Normal.into(), pressure, pace);
     }
@@ -96,7 +96,7 @@
         &mut self,
         now: Instant,
         class: Class,
-        returned: &Returned,
+        returned: &Response,
     ) -> Option<Duration> {
         if returned.reason != Reason::Connection {
             // Where the connection broke nothing was told.
@@ -129,7 +129,7 @@
         times: &mut Latencies,
         (class, kind): (Class, &KindName),
         time: Duration,
-        returned: Option<&Returned>,
+        returned: Option<&Response>,
     ) {
         let told = returned.and_then(|returned| returned.pace);
         let level = || self.levels.borrow().at(now, class);
@@ -174,12 +174,12 @@
     }
 
     /// Returns how many times as long as the others it takes, and the pace of its instance.
-    pub(crate) fn shown(&self, now: Instant) -> (f64, f64) {
+    pub(crate) fn slowness_and_pace(&self, now: Instant) -> (f64, f64) {
         (self.speed.slowness(now), self.pace.factor(now))
     }
 
     /// Forgets what was learned, as another upstream stands there now.
-    pub(crate) fn renew(&mut self) {
+    pub(crate) fn reset(&mut self) {
         *self = Self {
             outstanding: self.outstanding,
             levels: Rc::clone(&self.levels),
@@ -219,12 +219,12 @@
 }
 
 /// Returns true if how long a request took tells how quick the upstream is.
-pub(crate) fn tells_time(returned: &Returned) -> bool {
+pub(crate) fn tells_time(returned: &Response) -> bool {
     returned.is_success() && !returned.failed_below
 }
 
 /// Returns true if what became of a request speaks against the node itself, not its load.
-fn is_failure(returned: &Returned) -> bool {
+fn is_failure(returned: &Response) -> bool {
     match returned.outcome {
         Outcome::Done => returned.status >= 500 && !returned.failed_below,
         Outcome::NotRun => match returned.reason {
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -74,7 +74,7 @@
             serving: self.peers.serving_count(),
             version: self.current.version().0,
             connections: self.entry.connections.get(),
-            watching: usize::from(self.watch.is_ours()),
+            watching: usize::from(self.watch.is_active()),
             foreign_rows: self.directory.foreign_row_count(),
             key_age_ms: age.map_or(0, |age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             quota_term: self.status.quota_term.get(),
@@ -91,9 +91,9 @@
     /// Returns what is known of the upstreams to which this node sent requests.
     fn upstreams(&self) -> Vec<Shown> {
         let now = Instant::now();
-        let used = self.peers.used();
+        let used = self.peers.with_known_load();
         let shown = used.iter().map(|link| {
-            let (slowness, pace) = link.load.borrow().shown(now);
+            let (slowness, pace) = link.load.borrow().slowness_and_pace(now);
             Shown {
                 node: link.member.name.clone(),
                 service: link.member.service.clone(),
@@ -112,9 +112,9 @@
             format!(
                 "{} crashes={} last_s={} left_s={}\n",
                 record.identity,
-                record.generation,
+                record.consecutive_crashes,
                 record.age.as_secs(),
-                record.left.as_secs()
+                record.remaining.as_secs()
             )
         });
         lines.collect()
