--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -31,7 +31,7 @@
 /// slow.
 const RELEARN_BELOW: f64 = 0.7;
 /// The limit of a trial, as a share of the limit before it.
-const TRIAL_LIMIT: f64 = 0.85;
+const TRIAL_LIMIT_SHARE: f64 = 0.85;
 /// A trial succeeds if at least this share of the throughput remains.
 const KEPT_THROUGHPUT: f64 = 0.93;
 /// The growth of a saturated limit per window, as a share of it.
@@ -121,7 +121,7 @@
 }
 
 /// The share of the limit at the beginning of a slow start.
-const RAMP_START: f64 = 0.2;
+const RAMP_START_SHARE: f64 = 0.2;
 
 /// The concurrency limit of one upstream.
 ///
@@ -212,7 +212,7 @@
         };
         let age = now.saturating_duration_since(ramp.started).as_secs_f64();
         let share = age / ramp.length.as_secs_f64().max(0.001);
-        (RAMP_START + (1.0 - RAMP_START) * share).min(1.0)
+        (RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * share).min(1.0)
     }
 
     /// Returns the self time of a call divided by its baseline; a call under light load also updates
@@ -270,7 +270,7 @@
             throughput,
             slowness,
         });
-        let lowered = (self.current * TRIAL_LIMIT).max(MIN_LIMIT);
+        let lowered = (self.current * TRIAL_LIMIT_SHARE).max(MIN_LIMIT);
         self.current = match self.announced_slots {
             Some(announced_slots) if self.current > announced_slots => lowered.max(announced_slots),
             _ => lowered,
--- a/crates/admission/src/window.rs
+++ b/crates/admission/src/window.rs
@@ -119,8 +119,8 @@
 
     fn record(&mut self, now: Instant, time: Duration, pressure: Pressure) {
         let time = time.as_secs_f64();
-        let known = if self.time > 0.0 { self.time } else { time };
-        self.time = known + (time - known) * TIME_WEIGHT;
+        let average = if self.time > 0.0 { self.time } else { time };
+        self.time = average + (time - average) * TIME_WEIGHT;
         self.round.samples += 1;
         self.round.pressure_sum += pressure.0;
         let age = now.saturating_duration_since(self.round.started);
@@ -187,8 +187,8 @@
             until: now + START_DURATION,
         }));
         for window in self.windows.borrow_mut().values_mut() {
-            let present = window.size.unwrap_or(size);
-            window.size = Some(present.min(size));
+            let current = window.size.unwrap_or(size);
+            window.size = Some(current.min(size));
         }
     }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -142,16 +142,16 @@
     averages: [Average; 2],
     /// For the power of two choices: the last reported pressures.
     reported: Vec<Option<(Pressure, Instant)>>,
-    near: Vec<usize>,
-    far: Vec<usize>,
+    same_domain: Vec<usize>,
+    other_domains: Vec<usize>,
     /// For the power of two choices: the mean latencies in seconds.
     means: Vec<Option<f64>>,
 }
 
 impl Sender {
     fn receive(&mut self, scenario: &Scenario, upstream: usize, now: Instant, pressure: Pressure) {
-        let is_far = scenario.upstreams[upstream].domain != self.domain;
-        self.averages[usize::from(is_far)].record(now, pressure.0);
+        let is_other_domain = scenario.upstreams[upstream].domain != self.domain;
+        self.averages[usize::from(is_other_domain)].record(now, pressure.0);
         let outstanding = self.outstanding[upstream];
         self.reports[upstream].record(now, pressure, outstanding);
         self.reported[upstream] = Some((pressure, now));
@@ -185,8 +185,8 @@
     let count = scenario.upstreams.len();
     let senders = (0..scenario.senders).map(|number| {
         let domain = number % 3;
-        let is_near = |place: &usize| scenario.upstreams[*place].domain == domain;
-        let (near, far) = (0..count).partition(is_near);
+        let is_same_domain = |index: &usize| scenario.upstreams[*index].domain == domain;
+        let (same_domain, other_domains) = (0..count).partition(is_same_domain);
         Sender {
             domain,
             latencies: Latencies::default(),
@@ -197,8 +197,8 @@
             shortlist: Shortlist::default(),
             averages: [Average::default(); 2],
             reported: vec![None; count],
-            near,
-            far,
+            same_domain,
+            other_domains,
             means: vec![None; count],
         }
     });
@@ -302,13 +302,13 @@
             let span = self.scenario.duration - 2_000_000 - self.scenario.measured_from;
             let part = (time - self.now) as f64 / span as f64;
             let (mut free, mut waiting, mut all) = (0, 0, 0);
-            for (place, server) in self.servers.iter().enumerate() {
-                let slots = f64::from(self.scenario.upstreams[place].slots);
-                self.summary.utilization[place] += part * f64::from(server.running) / slots;
-                self.summary.mean_queue[place] += part * server.queue.len() as f64 / slots;
-                free += self.scenario.upstreams[place].slots - server.running;
+            for (index, server) in self.servers.iter().enumerate() {
+                let slots = f64::from(self.scenario.upstreams[index].slots);
+                self.summary.utilization[index] += part * f64::from(server.running) / slots;
+                self.summary.mean_queue[index] += part * server.queue.len() as f64 / slots;
+                free += self.scenario.upstreams[index].slots - server.running;
                 waiting += u32::try_from(server.queue.len()).expect("small number");
-                all += self.scenario.upstreams[place].slots;
+                all += self.scenario.upstreams[index].slots;
             }
             self.summary.misplaced += part * f64::from(free.min(waiting)) / f64::from(all);
         }
@@ -376,24 +376,24 @@
             paces,
             outstanding,
             shortlist,
-            near,
-            far,
+            same_domain,
+            other_domains,
             means,
             averages,
             reported,
             ..
         } = &self.senders[sender];
-        let slots = |place: usize| self.scenario.upstreams[place].slots;
+        let slots = |index: usize| self.scenario.upstreams[index].slots;
         if self.policy == Policy::PowerOfTwo {
             let known: Vec<f64> = means.iter().flatten().copied().collect();
             let usual = known.iter().sum::<f64>() / known.len().max(1) as f64;
-            let cost = |place: usize| {
-                let share = f64::from(outstanding[place] + 1) / f64::from(slots(place));
-                means[place].unwrap_or(usual.max(1e-6)) * (0.2 + share)
+            let cost = |index: usize| {
+                let share = f64::from(outstanding[index] + 1) / f64::from(slots(index));
+                means[index].unwrap_or(usual.max(1e-6)) * (0.2 + share)
             };
-            let pressure = |place: usize| {
-                let own = Pressure::of(outstanding[place] as usize, slots(place) as usize);
-                let reported = reported[place]
+            let pressure = |index: usize| {
+                let own = Pressure::of(outstanding[index] as usize, slots(index) as usize);
+                let reported = reported[index]
                     .map(|(reported, received_at)| reported.decayed(received_at, now));
                 reported.unwrap_or_default().max(own)
             };
@@ -406,20 +406,26 @@
                     second
                 })
             };
-            return match (pick(near), pick(far)) {
-                (Some(near), Some(far)) if pressure(near).spills_to(pressure(far)) => far,
-                (near, far) => near.or(far).expect("at least one upstream"),
+            return match (pick(same_domain), pick(other_domains)) {
+                (Some(same_domain), Some(other_domains))
+                    if pressure(same_domain).spills_to(pressure(other_domains)) =>
+                {
+                    other_domains
+                }
+                (same_domain, other_domains) => same_domain
+                    .or(other_domains)
+                    .expect("at least one upstream"),
             };
         }
-        let place = |locality, place: usize| match locality {
-            Locality::SameDomain => near[place],
-            Locality::OtherDomain => far[place],
+        let upstream_at = |locality, index: usize| match locality {
+            Locality::SameDomain => same_domain[index],
+            Locality::OtherDomain => other_domains[index],
         };
         let candidates = Candidates {
-            same_domain: near.len(),
-            other_domains: far.len(),
+            same_domain: same_domain.len(),
+            other_domains: other_domains.len(),
             lookup: |locality, at| {
-                let at = place(locality, at);
+                let at = upstream_at(locality, at);
                 let average = &averages[usize::from(locality == Locality::OtherDomain)];
                 Some(Candidate {
                     is_available: true,
@@ -437,7 +443,7 @@
         let estimate = latencies.estimate(&self.names[kind], timeout);
         let (locality, at) =
             choose(&candidates, &estimate, &mut self.random).expect("at least one upstream");
-        place(locality, at)
+        upstream_at(locality, at)
     }
 
     /// Returns the factor by which work currently takes longer than usual.
--- a/crates/placement/tests/uneven_speeds.rs
+++ b/crates/placement/tests/uneven_speeds.rs
@@ -31,10 +31,10 @@
 }
 
 fn scenario(count: usize, slots: u32, kinds: Vec<Kind>) -> Scenario {
-    let upstreams = (0..count).map(|place| Upstream {
-        domain: place % 3,
+    let upstreams = (0..count).map(|index| Upstream {
+        domain: index % 3,
         slots,
-        speed: SPEEDS[place / 3 % 3],
+        speed: SPEEDS[index / 3 % 3],
     });
     Scenario {
         upstreams: upstreams.collect(),
@@ -142,9 +142,9 @@
 fn none_is_starved() {
     let scenario = scenario(33, 58, vec![browse(1000.0)]);
     for summary in runs(&scenario, Policy::LeastCost) {
-        for place in 0..33 {
-            let share = summary.share(place, 40, 140);
-            assert!(share > 0.0002, "{place}: {share:.5}");
+        for index in 0..33 {
+            let share = summary.share(index, 40, 140);
+            assert!(share > 0.0002, "{index}: {share:.5}");
         }
     }
 }
