--- a/crates/admission/src/breaker.rs
+++ b/crates/admission/src/breaker.rs
@@ -3,8 +3,8 @@
 //!
 //! While such a service is unreachable, every request that needs it wastes work in all services that
 //! it passes and then fails, where an early refusal would let the client retry. The circuit opens
-//! after a few such failures in a row. While it is open, one request at a time is let through as a
-//! probe, so that the kind recovers as soon as the service does.
+//! after a few such failures in a row. While it is open, one request per `PROBE_INTERVAL` is let
+//! through as a probe, so that the kind recovers soon after the service does.
 
 #[cfg(test)]
 mod tests;
