--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -9,11 +9,11 @@
 use sailtrack_net::task;
 use sailtrack_units::ServiceName;
 
-use super::crash::Watcher;
+use super::crash::Detector;
 use super::kinds::Kinds;
+use super::lock::Lock;
 use super::pool::Pool;
-use super::room::Room;
-use super::single::Single;
+use super::slots::Slots;
 use super::{Gate, Records, Upstream};
 use crate::contexts::Contexts;
 use crate::dialect::Dialect;
@@ -37,8 +37,11 @@
         (quarantine, wake): (Rc<Quarantine>, Rc<Wake>),
     ) -> Self {
         let rules = crate::node::ADMISSION_RULES;
-        let (room, kept) = Room::new();
-        task::spawn("room of the upstream", Rc::clone(&room).free_in_time(kept));
+        let (slots, retentions) = Slots::new();
+        task::spawn(
+            "room of the upstream",
+            Rc::clone(&slots).release_expired(retentions),
+        );
         let gate = Gate {
             dialect,
             service,
@@ -49,14 +52,14 @@
             records: Rc::default(),
             events: Rc::default(),
             metrics: Rc::new(Metrics::new()),
-            longest: Cell::default(),
+            max_request_time: Cell::default(),
             kinds: Kinds::default(),
-            room,
+            slots,
             pool: Pool::new(target),
-            watcher: Watcher::new(target),
+            detector: Detector::new(target),
             quarantine,
             wake,
-            trials: Single::default(),
+            trials: Lock::default(),
             in_flight: Rc::default(),
         };
         Self { gate }
--- a/crates/mesh/src/gate/crash.rs
+++ b/crates/mesh/src/gate/crash.rs
@@ -13,81 +13,85 @@
 use futures::future::{LocalBoxFuture, Shared};
 use sailtrack_units::Moment;
 
-use super::doubt::Doubt;
+use super::lock::{Guard, Lock};
 use super::port::{self, Finding};
-use super::single::{Single, Turn};
+use super::suspicion::Suspicion;
 use crate::contexts::Context;
 use crate::key::UpstreamKey;
 
 /// Finds out whether the own upstream has crashed.
-pub(super) struct Watcher {
+pub(super) struct Detector {
     target: SocketAddr,
     /// The connection that is being tried; all losses of the same moment wait for one.
     probe: RefCell<Option<Shared<LocalBoxFuture<'static, Finding>>>>,
     /// The port is watched; that serves all losses meanwhile.
-    watch: Single,
+    watch: Lock,
     /// The last life that crashed.
-    crashed: RefCell<Option<Rc<UpstreamKey>>>,
+    last_crashed: RefCell<Option<Rc<UpstreamKey>>>,
     /// What ran when connections of the present life broke, although its port took new ones.
-    doubt: RefCell<Option<Doubt>>,
+    suspicion: RefCell<Option<Suspicion>>,
 }
 
-impl Watcher {
+impl Detector {
     pub(super) fn new(target: SocketAddr) -> Self {
         Self {
             target,
             probe: RefCell::default(),
-            watch: Single::default(),
-            crashed: RefCell::default(),
-            doubt: RefCell::default(),
+            watch: Lock::default(),
+            last_crashed: RefCell::default(),
+            suspicion: RefCell::default(),
         }
     }
 
     /// Returns true if this life is known to have crashed.
-    pub(super) fn has_seen(&self, upstream: &UpstreamKey) -> bool {
-        self.crashed.borrow().as_deref() == Some(upstream)
+    pub(super) fn is_known_crash(&self, upstream: &UpstreamKey) -> bool {
+        self.last_crashed.borrow().as_deref() == Some(upstream)
     }
 
     /// Notes that a life crashed; returns false if that was known.
-    pub(super) fn note(&self, upstream: &UpstreamKey) -> bool {
-        if self.has_seen(upstream) {
+    pub(super) fn record_crash(&self, upstream: &UpstreamKey) -> bool {
+        if self.is_known_crash(upstream) {
             return false;
         }
-        self.crashed.replace(Some(Rc::new(upstream.clone())));
+        self.last_crashed.replace(Some(Rc::new(upstream.clone())));
         true
     }
 
     /// Notes what ran when a connection broke whose upstream still takes new ones.
-    pub(super) fn doubt(&self, upstream: &UpstreamKey, ran: &[Rc<Context>], now: Moment) {
-        let doubt = self
-            .take_doubt(now)
+    pub(super) fn suspect(&self, upstream: &UpstreamKey, ran: &[Rc<Context>], now: Moment) {
+        let suspicion = self
+            .take_suspicion(now)
             .filter(|known| known.is_about(upstream));
-        let mut doubt = doubt.unwrap_or_else(|| Doubt::new(upstream.clone(), now));
-        doubt.add(ran, now);
-        self.doubt.replace(Some(doubt));
+        let mut suspicion = suspicion.unwrap_or_else(|| Suspicion::new(upstream.clone(), now));
+        suspicion.add(ran, now);
+        self.suspicion.replace(Some(suspicion));
     }
 
     /// Returns what is doubted, which is not doubted any more.
-    pub(super) fn take_doubt(&self, now: Moment) -> Option<Doubt> {
-        self.doubt.take().filter(|doubt| doubt.is_fresh(now))
+    pub(super) fn take_suspicion(&self, now: Moment) -> Option<Suspicion> {
+        self.suspicion
+            .take()
+            .filter(|suspicion| suspicion.is_current(now))
     }
 
     /// Returns the life that is doubted.
-    pub(super) fn doubted(&self, now: Moment) -> Option<UpstreamKey> {
-        let doubt = self.doubt.borrow();
-        let doubt = doubt.as_ref().filter(|doubt| doubt.is_fresh(now));
-        doubt.map(|doubt| doubt.upstream().clone())
+    pub(super) fn suspected(&self, now: Moment) -> Option<UpstreamKey> {
+        let suspicion = self.suspicion.borrow();
+        let suspicion = suspicion
+            .as_ref()
+            .filter(|suspicion| suspicion.is_current(now));
+        suspicion.map(|suspicion| suspicion.upstream().clone())
     }
 
     /// Takes in that a life answered a request that was sent to it at this moment.
-    pub(super) fn note_answer(&self, upstream: &UpstreamKey, sent: Moment) {
-        self.doubt
+    pub(super) fn record_answer(&self, upstream: &UpstreamKey, sent: Moment) {
+        self.suspicion
             .borrow_mut()
-            .take_if(|doubt| doubt.is_about(upstream) && doubt.is_settled_by(sent));
+            .take_if(|suspicion| suspicion.is_about(upstream) && suspicion.is_refuted_by(sent));
     }
 
     /// Tries a connection to the upstream.
-    pub(super) async fn look(&self) -> Finding {
+    pub(super) async fn probe_port(&self) -> Finding {
         let known = self.probe.borrow().clone();
         let probe = match known {
             Some(probe) if probe.peek().is_none() => probe,
@@ -97,8 +101,8 @@
     }
 
     /// Begins to watch the port, unless that is done already.
-    pub(super) fn begin_watch(&self) -> Option<Turn> {
-        self.watch.begin()
+    pub(super) fn begin_watch(&self) -> Option<Guard> {
+        self.watch.try_acquire()
     }
 
     /// Returns the address of the port.
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -23,16 +23,16 @@
 use crate::work::Work;
 
 /// The most bytes of an answer's head.
-const HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// A longer body is passed on while it is read. Up to here an answer that breaks off can be
 /// repeated or refused, beyond it a hundred answers at once still fit into 13 MB.
-const WHOLE_BYTES: usize = 128 * 1024;
+const MAX_BUFFERED_BYTES: usize = 128 * 1024;
 /// How long an upstream may pause within a streamed body.
-const PIECE_TIME: Duration = Duration::from_secs(30);
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// The most bytes of the body of an answer that is passed over.
-const FOREIGN_BYTES: usize = 1024 * 1024;
+const MAX_STALE_BODY_BYTES: usize = 1024 * 1024;
 /// The most answers to other requests that are passed over before the awaited one.
-const MOST_FOREIGN: u32 = 3;
+const MAX_STALE_ANSWERS: u32 = 3;
 
 /// Why an exchange gave no answer that can be passed on.
 #[derive(Debug, Display)]
@@ -52,9 +52,9 @@
     /// the answer does not bear the signature of the upstream
     Unsigned,
     /// the answer is in a coding that was not asked for
-    Coded,
+    Encoded,
     /// the answer belongs to another request
-    Foreign,
+    Mismatched,
     /// the upstream was started again and knows nothing of the request
     Restarted,
 }
@@ -71,10 +71,14 @@
     }
 
     /// Returns true if the upstream may still work on the request.
-    pub(super) fn may_go_on(&self) -> bool {
+    pub(super) fn may_still_run(&self) -> bool {
         match self {
-            Self::Connect(_) | Self::Late | Self::Restarted | Self::Unsigned | Self::Coded => false,
-            Self::Io(_) | Self::Message(_) | Self::Body(_) | Self::Head(_) | Self::Foreign => true,
+            Self::Connect(_) | Self::Late | Self::Restarted | Self::Unsigned | Self::Encoded => {
+                false
+            }
+            Self::Io(_) | Self::Message(_) | Self::Body(_) | Self::Head(_) | Self::Mismatched => {
+                true
+            }
         }
     }
 
@@ -93,18 +97,18 @@
 /// The rest of a long body on the connection to the upstream.
 struct UpstreamSource {
     connection: Connection,
-    first: Option<Bytes>,
+    first_piece: Option<Bytes>,
     rest: BodyRest,
 }
 
 impl Source for UpstreamSource {
     fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Truncated>> {
         async {
-            if let Some(first) = self.first.take() {
-                return Ok(Some(first));
+            if let Some(first_piece) = self.first_piece.take() {
+                return Ok(Some(first_piece));
             }
             let piece = self.connection.reader.piece(&mut self.rest);
-            match timeout(PIECE_TIME, piece).await {
+            match timeout(BODY_READ_TIMEOUT, piece).await {
                 Ok(Ok(piece)) => Ok(piece),
                 Ok(Err(_)) | Err(_) => Err(Truncated),
             }
@@ -122,27 +126,34 @@
     upstream: &UpstreamKey,
     work: &Work,
 ) -> Result<UpstreamAnswer, ExchangeError> {
-    let taken = pool.take(!work.idempotent).await;
+    let taken = pool.acquire(!work.idempotent).await;
     let mut connection = taken.map_err(ExchangeError::Connect)?;
     // The node may have stood still meanwhile, and its caller may have been told.
     if work.time_left().is_zero() {
         return Err(ExchangeError::Late);
     }
     let request = request_bytes(fields, upstream, work);
-    let (first, was_sent) = send(&mut connection, request).await?;
-    let is_head = work.head.starts_with(b"HEAD ");
-    let own = find_own(&mut connection, fields, &work.attempt, first, is_head).await?;
-    let Own {
+    let (first_head, was_sent) = send(&mut connection, request).await?;
+    let is_head_request = work.head.starts_with(b"HEAD ");
+    let matched = read_matching_head(
+        &mut connection,
+        fields,
+        &work.attempt,
+        first_head,
+        is_head_request,
+    )
+    .await?;
+    let MatchedHead {
         head,
         framing,
         mut rest,
-    } = own;
-    let begun = read_begin(&mut connection, &mut rest).await?;
+    } = matched;
+    let prefix = read_prefix(&mut connection, &mut rest).await?;
     if rest.is_ended() {
         if was_sent && framing != Framing::UntilClose {
-            pool.give_back(connection, &head);
+            pool.release(connection, &head);
         }
-        let body = Body::Whole(begun);
+        let body = Body::Whole(prefix);
         return Ok(UpstreamAnswer { head, body });
     }
     let length = match framing {
@@ -151,7 +162,7 @@
     };
     let source = UpstreamSource {
         connection,
-        first: Some(begun),
+        first_piece: Some(prefix),
         rest,
     };
     let body = Body::Stream(Stream::new(length, Box::new(source)));
@@ -166,7 +177,7 @@
 ) -> Result<(Bytes, bool), ExchangeError> {
     let Connection { reader, writer, .. } = connection;
     let writing = std::pin::pin!(writer.write_all(request));
-    let reading = std::pin::pin!(reader.response_head(HEAD_BYTES));
+    let reading = std::pin::pin!(reader.response_head(MAX_HEAD_BYTES));
     let (head, was_sent) = match select(writing, reading).await {
         Either::Left(((written, _), reading)) => {
             let head = reading.await;
@@ -181,12 +192,12 @@
 }
 
 /// Reads a body to its end, or as far as it is held in memory.
-async fn read_begin(
+async fn read_prefix(
     connection: &mut Connection,
     rest: &mut BodyRest,
 ) -> Result<Bytes, ExchangeError> {
     let mut body = BytesMut::new();
-    while body.len() < WHOLE_BYTES {
+    while body.len() < MAX_BUFFERED_BYTES {
         let piece = connection.reader.piece(rest).await;
         match piece.map_err(ExchangeError::Body)? {
             Some(piece) if body.is_empty() && rest.is_ended() => return Ok(piece),
@@ -199,22 +210,22 @@
 
 fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Work) -> BytesMut {
     let left = work.time_left();
-    let own = format!(
+    let added = format!(
         "{}: {}\r\n{}: {}\r\n\r\n",
         fields.time_left_ms,
         left.as_millis(),
         fields.expected_upstream,
         upstream.id(),
     );
-    let mut bytes = BytesMut::with_capacity(work.head.len() + own.len() + work.body.len());
+    let mut bytes = BytesMut::with_capacity(work.head.len() + added.len() + work.body.len());
     bytes.extend_from_slice(&work.head);
-    bytes.extend_from_slice(own.as_bytes());
+    bytes.extend_from_slice(added.as_bytes());
     bytes.extend_from_slice(&work.body);
     bytes
 }
 
 /// The head of the awaited answer; its body has not been read.
-struct Own {
+struct MatchedHead {
     head: ResponseHead,
     framing: Framing,
     rest: BodyRest,
@@ -224,39 +235,39 @@
 ///
 /// An upstream may answer an earlier request twice; the second answer then
 /// stands before the one that is awaited.
-async fn find_own(
+async fn read_matching_head(
     connection: &mut Connection,
     fields: &FieldNames,
     attempt: &AttemptKey,
-    first: Bytes,
-    is_head: bool,
-) -> Result<Own, ExchangeError> {
-    let mut bytes = first;
-    for _ in 0..=MOST_FOREIGN {
+    first_head: Bytes,
+    is_head_request: bool,
+) -> Result<MatchedHead, ExchangeError> {
+    let mut bytes = first_head;
+    for _ in 0..=MAX_STALE_ANSWERS {
         let head = ResponseHead::parse(&bytes).map_err(ExchangeError::Head)?;
-        let framing = response_framing(head.status, is_head, &head.fields);
+        let framing = response_framing(head.status, is_head_request, &head.fields);
         let framing = framing.map_err(ExchangeError::Head)?;
         let is_interim = head.status < 200;
         if !is_interim && belongs_to(&head, fields, attempt) {
-            check(&head, fields)?;
-            return Ok(Own {
+            verify(&head, fields)?;
+            return Ok(MatchedHead {
                 rest: BodyRest::new(framing),
                 head,
                 framing,
             });
         }
-        let body = connection.reader.body(framing, FOREIGN_BYTES).await;
+        let body = connection.reader.body(framing, MAX_STALE_BODY_BYTES).await;
         body.map_err(ExchangeError::Body)?;
         if !is_interim && !head.keeps_alive() {
-            return Err(ExchangeError::Foreign);
+            return Err(ExchangeError::Mismatched);
         }
         bytes = connection
             .reader
-            .response_head(HEAD_BYTES)
+            .response_head(MAX_HEAD_BYTES)
             .await
             .map_err(ExchangeError::Message)?;
     }
-    Err(ExchangeError::Foreign)
+    Err(ExchangeError::Mismatched)
 }
 
 /// Returns true if the answer is the one to the request with this id.
@@ -270,7 +281,7 @@
 }
 
 /// Checks that a success really is the upstream's own body.
-fn check(head: &ResponseHead, fields: &FieldNames) -> Result<(), ExchangeError> {
+fn verify(head: &ResponseHead, fields: &FieldNames) -> Result<(), ExchangeError> {
     if !(200..300).contains(&head.status) {
         return Ok(());
     }
@@ -278,7 +289,7 @@
         return Err(ExchangeError::Unsigned);
     }
     if head.fields.get("content-encoding").is_some() {
-        return Err(ExchangeError::Coded);
+        return Err(ExchangeError::Encoded);
     }
     Ok(())
 }
--- a/crates/mesh/src/gate/kinds.rs
+++ b/crates/mesh/src/gate/kinds.rs
@@ -11,27 +11,27 @@
 use hdrhistogram::Histogram;
 use sailtrack_units::KindName;
 
-use super::patience::Usual;
+use super::timeout::Latency;
 
 /// From so many answers on it is known how long a kind takes.
-const ENOUGH: u64 = 20;
+const MIN_SAMPLES: u64 = 20;
 /// After this time newer answers begin to replace older ones.
-const GENERATION: Duration = Duration::from_secs(10);
+const WINDOW: Duration = Duration::from_secs(10);
 /// The most kinds that are kept: a service has some few, and routes come and go.
-const MOST_KINDS: usize = 128;
+const MAX_KINDS: usize = 128;
 /// In what times are counted.
-const UNIT: Duration = Duration::from_micros(100);
+const RESOLUTION: Duration = Duration::from_micros(100);
 /// The longest time that is told from longer ones, in units: a minute.
-const LONGEST: u64 = 600_000;
+const MAX_UNITS: u64 = 600_000;
 /// The digits to which times are kept; one is a step of some percent, and half a kilobyte.
-const DIGITS: u8 = 1;
+const SIGNIFICANT_DIGITS: u8 = 1;
 /// What late and longest usual times leave out.
-const LATE_PERCENTILE: f64 = 95.0;
-const LONGEST_PERCENTILE: f64 = 99.0;
+const P95: f64 = 95.0;
+const P99: f64 = 99.0;
 /// The weight of the newest end in the share of requests without an answer.
-const NEWEST_WEIGHT: f64 = 0.1;
+const SMOOTHING: f64 = 0.1;
 /// After this time without news half of that share counts.
-const SILENT_HALF_LIFE: Duration = Duration::from_secs(5);
+const UNANSWERED_HALF_LIFE: Duration = Duration::from_secs(5);
 
 /// The kinds of requests that came to the own upstream.
 #[derive(Default)]
@@ -44,7 +44,7 @@
         if let Some(kind) = kinds.get(name) {
             return Rc::clone(kind);
         }
-        if kinds.len() >= MOST_KINDS {
+        if kinds.len() >= MAX_KINDS {
             kinds.clear();
         }
         Rc::clone(kinds.entry(name.clone()).or_default())
@@ -52,28 +52,28 @@
 }
 
 /// Times of one kind, of two generations.
-struct Times {
-    present: Option<Histogram<u16>>,
-    earlier: Option<Histogram<u16>>,
+struct Latencies {
+    current: Option<Histogram<u16>>,
+    previous: Option<Histogram<u16>>,
     since: Option<Instant>,
 }
 
 /// One kind of request.
 #[derive(Default)]
 pub(super) struct Kind {
-    times: RefCell<Times>,
-    open: RefCell<Vec<Rc<Cell<u32>>>>,
+    latencies: RefCell<Latencies>,
+    in_flight: RefCell<Vec<Rc<Cell<u32>>>>,
     /// For how long one was waited for in vain, and when it was given up.
-    doubt: Cell<Option<(Duration, Instant)>>,
+    abandoned: Cell<Option<(Duration, Instant)>>,
     /// The share that was not answered, and when that was last seen.
-    silent: Cell<Option<(f64, Instant)>>,
+    unanswered: Cell<Option<(f64, Instant)>>,
 }
 
-impl Default for Times {
+impl Default for Latencies {
     fn default() -> Self {
         Self {
-            present: new_histogram(),
-            earlier: None,
+            current: new_histogram(),
+            previous: None,
             since: None,
         }
     }
@@ -81,106 +81,109 @@
 
 /// The bounds are sound, so there always is one.
 fn new_histogram() -> Option<Histogram<u16>> {
-    Histogram::new_with_max(LONGEST, DIGITS).ok()
+    Histogram::new_with_max(MAX_UNITS, SIGNIFICANT_DIGITS).ok()
 }
 
-impl Times {
-    fn note(&mut self, time: Duration, now: Instant) {
+impl Latencies {
+    fn record(&mut self, time: Duration, now: Instant) {
         let since = *self.since.get_or_insert(now);
-        let is_old = now.saturating_duration_since(since) >= GENERATION;
-        let is_enough = self.present.as_ref().is_some_and(is_enough);
-        if is_old && is_enough {
-            self.earlier = self.present.take();
-            self.present = new_histogram();
+        let is_old = now.saturating_duration_since(since) >= WINDOW;
+        let has_enough_samples = self.current.as_ref().is_some_and(has_enough_samples);
+        if is_old && has_enough_samples {
+            self.previous = self.current.take();
+            self.current = new_histogram();
             self.since = Some(now);
         }
-        let units = time.as_micros() / UNIT.as_micros();
-        let units = u64::try_from(units).unwrap_or(LONGEST);
-        if let Some(present) = &mut self.present {
-            present.saturating_record(units.clamp(1, LONGEST));
+        let units = time.as_micros() / RESOLUTION.as_micros();
+        let units = u64::try_from(units).unwrap_or(MAX_UNITS);
+        if let Some(current) = &mut self.current {
+            current.saturating_record(units.clamp(1, MAX_UNITS));
         }
     }
 
-    fn usual(&self) -> Option<Usual> {
-        let known = [&self.present, &self.earlier];
-        let known = known.into_iter().flatten().filter(|one| is_enough(one));
-        let usual = known.map(|times| Usual {
-            middle: time_at(times, 50.0),
-            late: time_at(times, LATE_PERCENTILE),
-            longest: time_at(times, LONGEST_PERCENTILE),
+    fn latency(&self) -> Option<Latency> {
+        let known = [&self.current, &self.previous];
+        let known = known
+            .into_iter()
+            .flatten()
+            .filter(|one| has_enough_samples(one));
+        let latency = known.map(|latencies| Latency {
+            median: percentile(latencies, 50.0),
+            p95: percentile(latencies, P95),
+            p99: percentile(latencies, P99),
         });
-        usual.reduce(|one, other| Usual {
-            middle: one.middle.max(other.middle),
-            late: one.late.max(other.late),
-            longest: one.longest.max(other.longest),
+        latency.reduce(|one, other| Latency {
+            median: one.median.max(other.median),
+            p95: one.p95.max(other.p95),
+            p99: one.p99.max(other.p99),
         })
     }
 }
 
-fn is_enough(times: &Histogram<u16>) -> bool {
-    times.len() >= ENOUGH
+fn has_enough_samples(latencies: &Histogram<u16>) -> bool {
+    latencies.len() >= MIN_SAMPLES
 }
 
-fn time_at(times: &Histogram<u16>, percentile: f64) -> Duration {
-    let units = times.value_at_percentile(percentile);
-    UNIT * u32::try_from(units).unwrap_or(u32::MAX)
+fn percentile(latencies: &Histogram<u16>, percentile: f64) -> Duration {
+    let units = latencies.value_at_percentile(percentile);
+    RESOLUTION * u32::try_from(units).unwrap_or(u32::MAX)
 }
 
 impl Kind {
     /// Begins a request of this kind.
-    pub(super) fn begin(self: &Rc<Self>, now: Instant) -> Open {
+    pub(super) fn begin(self: &Rc<Self>, now: Instant) -> InFlight {
         let overtaken = Rc::<Cell<u32>>::default();
-        self.open.borrow_mut().push(Rc::clone(&overtaken));
-        Open {
+        self.in_flight.borrow_mut().push(Rc::clone(&overtaken));
+        InFlight {
             kind: Rc::clone(self),
             overtaken,
             at: now,
-            doubted: self.doubted(now),
+            last_abandoned: self.last_abandoned(now),
         }
     }
 
     /// Returns how long it takes when nothing slows it down, if that is known.
-    pub(super) fn usual(&self) -> Option<Usual> {
-        self.times.borrow().usual()
+    pub(super) fn latency(&self) -> Option<Latency> {
+        self.latencies.borrow().latency()
     }
 
     /// Returns the share that was not answered lately.
-    pub(super) fn silent(&self, now: Instant) -> f64 {
-        let Some((share, seen)) = self.silent.get() else {
+    pub(super) fn unanswered_share(&self, now: Instant) -> f64 {
+        let Some((share, seen)) = self.unanswered.get() else {
             return 0.0;
         };
         let age = now.saturating_duration_since(seen).as_secs_f64();
-        share * 0.5_f64.powf(age / SILENT_HALF_LIFE.as_secs_f64())
+        share * 0.5_f64.powf(age / UNANSWERED_HALF_LIFE.as_secs_f64())
     }
 
     /// Notes that one was answered, or that its time is over without an answer.
-    pub(super) fn note_silent(&self, is_silent: bool, now: Instant) {
-        let before = self.silent(now);
-        let newest = f64::from(u8::from(is_silent));
-        let share = before + (newest - before) * NEWEST_WEIGHT;
-        self.silent.set(Some((share, now)));
+    pub(super) fn record_outcome(&self, is_unanswered: bool, now: Instant) {
+        let before = self.unanswered_share(now);
+        let newest = f64::from(u8::from(is_unanswered));
+        let share = before + (newest - before) * SMOOTHING;
+        self.unanswered.set(Some((share, now)));
     }
 
     /// Returns for how long one was waited for in vain lately, if none has been quick since.
-    fn doubted(&self, now: Instant) -> Duration {
+    fn last_abandoned(&self, now: Instant) -> Duration {
         let is_young =
-            |(_, since): &(Duration, Instant)| now.saturating_duration_since(*since) < GENERATION;
-        let doubt = self.doubt.get().filter(is_young);
-        doubt.map_or(Duration::ZERO, |(waited, _)| waited)
+            |(_, since): &(Duration, Instant)| now.saturating_duration_since(*since) < WINDOW;
+        let abandoned = self.abandoned.get().filter(is_young);
+        abandoned.map_or(Duration::ZERO, |(waited, _)| waited)
     }
 }
 
 /// A request that has been sent and not answered.
-pub(super) struct Open {
+pub(super) struct InFlight {
     kind: Rc<Kind>,
     /// How many requests of the kind that were sent later have been answered.
     overtaken: Rc<Cell<u32>>,
     at: Instant,
     /// For how long one was waited for in vain before.
-    doubted: Duration,
+    last_abandoned: Duration,
 }
 
-impl Open {
+impl InFlight {
     /// Returns how many requests of its kind that were sent later have been answered.
     pub(super) fn overtaken(&self) -> u32 {
         self.overtaken.get()
@@ -188,8 +191,8 @@
 
     /// Returns for how long one was waited for in vain before it was sent, if none had been quick
     /// since.
-    pub(super) fn doubted(&self) -> Duration {
-        self.doubted
+    pub(super) fn last_abandoned(&self) -> Duration {
+        self.last_abandoned
     }
 
     /// Returns how long ago it was sent.
@@ -198,27 +201,27 @@
     }
 
     /// Notes its answer, where work takes `slowness` times as long as usual.
-    pub(super) fn note_answer(&self, slowness: f64, now: Instant) {
-        self.pass_earlier();
-        let time = self.waited(now).div_f64(slowness.max(1.0));
-        let usual = self.kind.times.borrow().usual();
-        let is_quick = usual.is_none_or(|usual| time <= usual.longest);
-        let doubt = self.kind.doubt.get();
-        if is_quick && doubt.is_some_and(|(_, since)| self.at >= since) {
-            self.kind.doubt.set(None);
+    pub(super) fn record_answer(&self, slowdown: f64, now: Instant) {
+        self.overtake_earlier();
+        let time = self.waited(now).div_f64(slowdown.max(1.0));
+        let latency = self.kind.latencies.borrow().latency();
+        let is_quick = latency.is_none_or(|latency| time <= latency.p99);
+        let abandoned = self.kind.abandoned.get();
+        if is_quick && abandoned.is_some_and(|(_, since)| self.at >= since) {
+            self.kind.abandoned.set(None);
         }
-        self.kind.times.borrow_mut().note(time, now);
+        self.kind.latencies.borrow_mut().record(time, now);
     }
 
     /// Notes that it was given up although none passed it: the upstream may have become slow.
-    pub(super) fn note_doubt(&self, now: Instant) {
-        self.kind.doubt.set(Some((self.waited(now), now)));
+    pub(super) fn record_abandoned(&self, now: Instant) {
+        self.kind.abandoned.set(Some((self.waited(now), now)));
     }
 
     /// It passed all that were sent earlier and are still open.
-    fn pass_earlier(&self) {
-        let open = self.kind.open.borrow();
-        let earlier = open
+    fn overtake_earlier(&self) {
+        let in_flight = self.kind.in_flight.borrow();
+        let earlier = in_flight
             .iter()
             .take_while(|one| !Rc::ptr_eq(one, &self.overtaken));
         for one in earlier {
@@ -227,9 +230,9 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let is_other = |one: &Rc<Cell<u32>>| !Rc::ptr_eq(one, &self.overtaken);
-        self.kind.open.borrow_mut().retain(is_other);
+        self.kind.in_flight.borrow_mut().retain(is_other);
     }
 }
--- a/crates/mesh/src/gate/kinds/tests.rs
+++ b/crates/mesh/src/gate/kinds/tests.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use super::{ENOUGH, GENERATION, Kind, Kinds, MOST_KINDS};
+use super::{Kind, Kinds, MAX_KINDS, MIN_SAMPLES, WINDOW};
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -16,7 +16,7 @@
 /// Answers requests that took this long, one after the other.
 fn answer(kind: &Rc<Kind>, now: Instant, count: u64, time: Duration) {
     for _ in 0..count {
-        kind.begin(now).note_answer(1.0, now + time);
+        kind.begin(now).record_answer(1.0, now + time);
     }
 }
 
@@ -29,23 +29,23 @@
 #[test]
 fn learned() {
     let (kind, now) = (kind(), Instant::now());
-    answer(&kind, now, ENOUGH - 1, ms(40));
-    assert_eq!(kind.usual(), None, "too few are known");
+    answer(&kind, now, MIN_SAMPLES - 1, ms(40));
+    assert_eq!(kind.latency(), None, "too few are known");
     answer(&kind, now, 180, ms(40));
     answer(&kind, now, 4, ms(300));
-    let usual = kind.usual().expect("enough are known");
-    assert_near(usual.middle, ms(40));
-    assert_near(usual.longest, ms(300));
+    let latency = kind.latency().expect("enough are known");
+    assert_near(latency.median, ms(40));
+    assert_near(latency.p99, ms(300));
 }
 
 /// Times are kept as they would be at the usual pace.
 #[test]
 fn at_usual_pace() {
     let (kind, now) = (kind(), Instant::now());
-    for _ in 0..ENOUGH {
-        kind.begin(now).note_answer(4.0, now + ms(400));
+    for _ in 0..MIN_SAMPLES {
+        kind.begin(now).record_answer(4.0, now + ms(400));
     }
-    assert_near(kind.usual().expect("known").middle, ms(100));
+    assert_near(kind.latency().expect("known").median, ms(100));
 }
 
 #[test]
@@ -53,22 +53,22 @@
     let (kind, mut now) = (kind(), Instant::now());
     answer(&kind, now, 100, ms(500));
     for _ in 0..2 {
-        now += GENERATION;
+        now += WINDOW;
         answer(&kind, now, 100, ms(50));
     }
-    now += GENERATION;
+    now += WINDOW;
     answer(&kind, now, 100, ms(50));
-    assert_near(kind.usual().expect("known").longest, ms(50));
+    assert_near(kind.latency().expect("known").p99, ms(50));
 }
 
 /// A kind that comes seldom is not forgotten for that.
 #[test]
 fn rare_ones_stay() {
     let (kind, now) = (kind(), Instant::now());
-    answer(&kind, now, ENOUGH, ms(50));
-    let later = now + GENERATION * 20;
+    answer(&kind, now, MIN_SAMPLES, ms(50));
+    let later = now + WINDOW * 20;
     answer(&kind, later, 1, ms(50));
-    assert!(kind.usual().is_some());
+    assert!(kind.latency().is_some());
 }
 
 #[test]
@@ -77,31 +77,31 @@
     let first = kind.begin(now);
     let second = kind.begin(now);
     let third = kind.begin(now);
-    third.note_answer(1.0, now);
+    third.record_answer(1.0, now);
     drop(third);
-    second.note_answer(1.0, now);
+    second.record_answer(1.0, now);
     assert_eq!((first.overtaken(), second.overtaken()), (2, 1));
-    first.note_answer(1.0, now);
+    first.record_answer(1.0, now);
     assert_eq!(second.overtaken(), 1, "the first was sent before");
 }
 
 #[test]
 fn doubt() {
     let (kind, now) = (kind(), Instant::now());
-    answer(&kind, now, ENOUGH, ms(50));
+    answer(&kind, now, MIN_SAMPLES, ms(50));
     let before = kind.begin(now);
-    kind.begin(now).note_doubt(now + ms(300));
-    let doubted = |at: Instant| kind.begin(at).doubted();
-    assert_eq!(doubted(now + ms(300)), ms(300));
-    before.note_answer(1.0, now + ms(310));
-    assert_eq!(doubted(now + ms(310)), ms(300), "it was sent before");
+    kind.begin(now).record_abandoned(now + ms(300));
+    let last_abandoned = |at: Instant| kind.begin(at).last_abandoned();
+    assert_eq!(last_abandoned(now + ms(300)), ms(300));
+    before.record_answer(1.0, now + ms(310));
+    assert_eq!(last_abandoned(now + ms(310)), ms(300), "it was sent before");
     answer(&kind, now + ms(400), 1, ms(400));
-    assert_eq!(doubted(now + ms(800)), ms(300), "it was slow itself");
+    assert_eq!(last_abandoned(now + ms(800)), ms(300), "it was slow itself");
     answer(&kind, now + ms(800), 1, ms(40));
-    assert_eq!(doubted(now + ms(840)), Duration::ZERO);
-    kind.begin(now).note_doubt(now + ms(300));
+    assert_eq!(last_abandoned(now + ms(840)), Duration::ZERO);
+    kind.begin(now).record_abandoned(now + ms(300));
     assert_eq!(
-        doubted(now + ms(300) + GENERATION),
+        last_abandoned(now + ms(300) + WINDOW),
         Duration::ZERO,
         "long ago"
     );
@@ -110,24 +110,27 @@
 #[test]
 fn bounded() {
     let kinds = Kinds::default();
-    for number in 0..=MOST_KINDS {
+    for number in 0..=MAX_KINDS {
         kinds.get(&format!("k-{number}").parse().expect("a name"));
     }
-    assert!(kinds.0.borrow().len() <= MOST_KINDS);
+    assert!(kinds.0.borrow().len() <= MAX_KINDS);
 }
 
 #[test]
 fn silent_share() {
     let (kind, now) = (kind(), Instant::now());
-    assert!(kind.silent(now) < f64::EPSILON);
+    assert!(kind.unanswered_share(now) < f64::EPSILON);
     for number in 0..60 {
-        kind.note_silent(number % 2 == 0, now);
+        kind.record_outcome(number % 2 == 0, now);
     }
-    let share = kind.silent(now);
+    let share = kind.unanswered_share(now);
     assert!((0.4..=0.6).contains(&share), "{share}");
-    assert!(kind.silent(now + GENERATION) < share / 3.0, "it fades");
+    assert!(
+        kind.unanswered_share(now + WINDOW) < share / 3.0,
+        "it fades"
+    );
     for _ in 0..40 {
-        kind.note_silent(false, now);
+        kind.record_outcome(false, now);
     }
-    assert!(kind.silent(now) < 0.02);
+    assert!(kind.unanswered_share(now) < 0.02);
 }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -4,24 +4,24 @@
 //! here without agreement: which life of it gets requests, how many at once,
 //! in which order, and that none runs twice that must not.
 
+mod admitted;
 mod builder;
 mod crash;
-mod doubt;
-mod entered;
 mod exchange;
 mod kinds;
+mod lock;
 mod loss;
-mod patience;
 mod pool;
 mod port;
 mod records;
 mod refusal;
 mod report;
-mod room;
 mod send;
-mod silence;
-mod single;
+mod slots;
+mod suspicion;
+mod timeout;
 mod upstream;
+mod wait;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -45,18 +45,18 @@
 use crate::quarantine::Quarantine;
 use crate::wake::Wake;
 use crate::work::{Returned, Work};
+use admitted::Admitted;
 pub(crate) use builder::Builder;
-use crash::Watcher;
-use entered::Entered;
+use crash::Detector;
 use kinds::Kinds;
+use lock::{Guard, Lock};
 use pool::Pool;
 pub(crate) use port::Finding;
-use records::Place;
+use records::Entry;
 pub(crate) use records::{Recalled, Records};
-use room::Room;
-use silence::until_told;
-use single::{Single, Turn};
+use slots::Slots;
 pub(crate) use upstream::Upstream;
+use wait::await_result;
 
 /// How much longer than its deadline the answer to a request that must not run twice is awaited:
 /// the upstream stops at the deadline and says so.
@@ -74,15 +74,15 @@
     events: Rc<Events>,
     metrics: Rc<Metrics>,
     /// The longest time that any request may take.
-    longest: Cell<Duration>,
+    max_request_time: Cell<Duration>,
     kinds: Kinds,
-    room: Rc<Room>,
+    slots: Rc<Slots>,
     pool: Pool,
-    watcher: Watcher,
+    detector: Detector,
     quarantine: Rc<Quarantine>,
     wake: Rc<Wake>,
     /// A request that may end the upstream runs there alone among such requests.
-    trials: Single,
+    trials: Lock,
     in_flight: Rc<Cell<usize>>,
 }
 
@@ -130,67 +130,67 @@
         if self.quarantine.standing(&work.identity).is_quarantined() {
             return self.refuse(&work, Reason::Quarantined);
         }
-        let Some(_) = self.open_upstream(&work, now) else {
+        let Some(_) = self.ready_upstream(&work, now) else {
             return self.refuse(&work, Reason::NoUpstream);
         };
-        let place = if work.idempotent {
+        let entry = if work.idempotent {
             None
         } else {
             match self.records.begin(&work.attempt, now) {
-                Some(place) => Some(place),
+                Some(entry) => Some(entry),
                 None => return self.recall(&work.attempt).await,
             }
         };
-        let outset = match self.begin(&work, now) {
+        let outset = match self.enter_group(&work, now) {
             Ok(outset) => outset,
-            Err(hold) => return self.hold_back(&work, hold),
+            Err(hold) => return self.refuse_held(&work, hold),
         };
-        let entered = match self.enter(&mut work, outset).await {
-            Ok(entered) => entered,
+        let admitted = match self.acquire_slot(&mut work, outset).await {
+            Ok(admitted) => admitted,
             Err(refused) => return refused,
         };
-        match place {
-            None => self.run_repeatable(&work, entered).await,
-            Some(place) => self.run_once(work, entered, place).await,
+        match entry {
+            None => self.run_idempotent(&work, admitted).await,
+            Some(entry) => self.run_once(work, admitted, entry).await,
         }
     }
 
     /// Waits for a slot of the own upstream, and looks again at what may have changed meanwhile.
-    async fn enter(
+    async fn acquire_slot(
         &self,
         work: &mut Work,
         outset: Option<OutsetPlace>,
-    ) -> Result<Entered, Returned> {
+    ) -> Result<Admitted, Returned> {
         let permit = self
             .admission
             .enter_as(work.class, work.rank, work.begun, work.time_left())
             .await;
         let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
-        let Some(upstream) = self.open_upstream(work, Instant::now()) else {
+        let Some(upstream) = self.ready_upstream(work, Instant::now()) else {
             return Err(self.refuse(work, Reason::Draining));
         };
         let trial = self
             .begin_trial(work)
             .map_err(|reason| self.refuse(work, reason))?;
-        Ok(Entered {
+        Ok(Admitted {
             upstream,
             ended: self.upstream.ended(),
-            stay: self.room.enter(permit),
+            slot: self.slots.admit(permit),
             outset,
             trial,
-            is_silent: Rc::default(),
+            is_given_up: Rc::default(),
         })
     }
 
     /// Lets a request in by what is held against it at this moment: it may have waited, and its
     /// sender may know less.
-    fn begin_trial(&self, work: &mut Work) -> Result<Option<Turn>, Reason> {
+    fn begin_trial(&self, work: &mut Work) -> Result<Option<Guard>, Reason> {
         let standing = self.quarantine.standing(&work.identity);
         work.known_crashes = work.known_crashes.max(standing.known());
         match standing {
             Standing::Clear | Standing::Suspected { .. } => Ok(None),
             Standing::OnTrial { .. } => {
-                let trial = self.trials.begin();
+                let trial = self.trials.try_acquire();
                 trial.map(Some).ok_or(Reason::OnTrial)
             }
             Standing::Quarantined { .. } => Err(Reason::Quarantined),
@@ -198,68 +198,69 @@
     }
 
     /// Runs a request that may run again, for as long as somebody waits for it.
-    async fn run_repeatable(self: &Rc<Self>, work: &Work, entered: Entered) -> Returned {
-        let mut returned = self.send(work, &entered, work.deadline).await;
-        entered.note(&returned, self.shared_pressure(work));
-        returned.body.hold(entered);
+    async fn run_idempotent(self: &Rc<Self>, work: &Work, admitted: Admitted) -> Returned {
+        let mut returned = self.send(work, &admitted, work.deadline).await;
+        admitted.record_result(&returned, self.shared_pressure(work));
+        returned.body.hold(admitted);
         returned
     }
 
     /// Runs a request that must not run twice to its end, whoever still waits for it.
-    async fn run_once(self: &Rc<Self>, work: Work, entered: Entered, place: Place) -> Returned {
-        if !place.start() {
+    async fn run_once(self: &Rc<Self>, work: Work, admitted: Admitted, entry: Entry) -> Returned {
+        if !entry.start() {
             return self.refuse(&work, Reason::TicketClosed);
         }
         let gate = Rc::clone(self);
         let deadline = work.deadline;
-        let is_silent = Rc::clone(&entered.is_silent);
+        let is_given_up = Rc::clone(&admitted.is_given_up);
         let (sender, receiver) = oneshot::channel();
         let held = Held::new(&self.in_flight);
         task::spawn("execution", async move {
             let until = work.deadline + ANSWER_GRACE;
-            let mut returned = gate.send(&work, &entered, until).await;
-            place.end(&returned, Instant::now());
-            entered.note(&returned, gate.shared_pressure(&work));
-            returned.body.hold((entered, held));
+            let mut returned = gate.send(&work, &admitted, until).await;
+            entry.finish(&returned, Instant::now());
+            admitted.record_result(&returned, gate.shared_pressure(&work));
+            returned.body.hold((admitted, held));
             // The caller may have left; the record has the answer.
             let _ = sender.send(returned);
         });
-        let returned = until_told(deadline, &is_silent, receiver).await;
+        let returned = await_result(deadline, &is_given_up, receiver).await;
         returned.unwrap_or_else(|_| Returned::unknown(Reason::Cancelled))
     }
 
     /// Takes in how many connections the own upstream accepts.
     pub(crate) fn limit_connections(&self, connections: usize) {
-        self.pool.bound(connections);
+        self.pool.limit_idle(connections);
     }
 
     /// Takes in the longest time that any request may take.
     pub(crate) fn limit_request_time(&self, time: Duration) {
-        self.longest.set(time);
+        self.max_request_time.set(time);
     }
 
     /// Takes in that another life of the upstream begins: unused connections lead to an earlier
     /// one, and what broke its connections just before may have ended it.
     pub(crate) fn handle_new_incarnation(&self) {
         self.pool.clear();
-        self.room.clear();
-        self.adopt();
-        let earlier = self.watcher.doubted(clock::now());
+        self.slots.release_all();
+        self.reserve_leftovers();
+        let earlier = self.detector.suspected(clock::now());
         if let Some(earlier) = earlier.filter(|earlier| self.upstream.was_replaced(earlier)) {
-            self.note_crash(&earlier);
+            self.handle_crash(&earlier);
         }
     }
 
     /// Keeps the room of what an earlier process of this node left in the upstream.
-    fn adopt(&self) {
-        let Some((load, at)) = self.upstream.take_first_load() else {
+    fn reserve_leftovers(&self) {
+        let Some((load, at)) = self.upstream.take_initial_load() else {
             return;
         };
         let requests = load.requests();
         if requests > 0 {
             emit(&catalogue::REQUESTS_LEFT_BEHIND, &[("requests", &requests)]);
-            let until = at + self.longest.get();
-            self.room.adopt(&self.admission, requests, until);
+            let until = at + self.max_request_time.get();
+            self.slots
+                .reserve_reported(&self.admission, requests, until);
         }
     }
 
@@ -275,7 +276,7 @@
     }
 
     /// Returns the life of the upstream that may run the request.
-    fn open_upstream(&self, work: &Work, now: Instant) -> Option<UpstreamKey> {
+    fn ready_upstream(&self, work: &Work, now: Instant) -> Option<UpstreamKey> {
         if work.service != self.service {
             return None;
         }
@@ -283,7 +284,7 @@
     }
 
     /// Returns the place of a client's request among those of its kind.
-    fn begin(&self, work: &Work, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
+    fn enter_group(&self, work: &Work, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
         if work.begun {
             return Ok(None);
         }
--- a/crates/mesh/src/gate/pool.rs
+++ b/crates/mesh/src/gate/pool.rs
@@ -13,31 +13,31 @@
 use crate::clock;
 
 /// How long a connection may take to be accepted by an upstream on the same instance.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an unused connection is kept if the upstream does not say.
-const IDLE_TIME: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The part of the time that an upstream states in which its connections are reused; a request
 /// on a connection that closes at that moment would be lost.
-const IDLE_SHARE: f64 = 0.7;
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 /// How long ago a connection may have been used for a request that must not run twice: a new one
 /// costs an upstream a millisecond, a lost request cannot be mended.
-const FRESH_TIME: Duration = Duration::from_secs(1);
+const MAX_FRESH_AGE: Duration = Duration::from_secs(1);
 /// The most unused connections that are kept, whatever the upstream accepts.
-const MOST_IDLE: usize = 256;
+const MAX_IDLE: usize = 256;
 /// The part of the connections that an upstream accepts which may stand unused.
-const IDLE_PART: usize = 4;
+const IDLE_DIVISOR: usize = 4;
 
 /// One connection to the upstream.
 pub(super) struct Connection {
     pub(super) reader: Reader,
     pub(super) writer: OwnedWriteHalf<TcpStream>,
-    used: Moment,
-    idle_time: Duration,
+    last_used: Moment,
+    idle_timeout: Duration,
 }
 
 impl Connection {
     fn is_usable(&mut self, now: Moment) -> bool {
-        now.since(self.used) < self.idle_time && self.reader.is_quiet()
+        now.since(self.last_used) < self.idle_timeout && self.reader.is_quiet()
     }
 }
 
@@ -45,7 +45,7 @@
 pub(super) struct Pool {
     target: SocketAddr,
     idle: RefCell<Vec<Connection>>,
-    most_idle: Cell<usize>,
+    max_idle: Cell<usize>,
 }
 
 impl Pool {
@@ -53,7 +53,7 @@
         Self {
             target,
             idle: RefCell::default(),
-            most_idle: Cell::new(MOST_IDLE),
+            max_idle: Cell::new(MAX_IDLE),
         }
     }
 
@@ -61,7 +61,7 @@
     ///
     /// An upstream may forget a connection sooner than it says, and what is sent on it then is
     /// lost. A request that may run again is sent again; `only_fresh` is for the others.
-    pub(super) async fn take(&self, only_fresh: bool) -> Result<Connection, DialError> {
+    pub(super) async fn acquire(&self, only_fresh: bool) -> Result<Connection, DialError> {
         let now = clock::now();
         loop {
             let idle = self.pop(now, only_fresh);
@@ -76,31 +76,32 @@
 
     /// Takes the connection that was used last, if it is fresh enough.
     fn pop(&self, now: Moment, only_fresh: bool) -> Option<Connection> {
-        let is_wanted =
-            |connection: &mut Connection| !only_fresh || now.since(connection.used) < FRESH_TIME;
+        let is_wanted = |connection: &mut Connection| {
+            !only_fresh || now.since(connection.last_used) < MAX_FRESH_AGE
+        };
         self.idle.borrow_mut().pop_if(is_wanted)
     }
 
     /// Keeps a connection whose exchange ended well, if its last answer allows it.
-    pub(super) fn give_back(&self, mut connection: Connection, head: &ResponseHead) {
+    pub(super) fn release(&self, mut connection: Connection, head: &ResponseHead) {
         if !head.keeps_alive() || connection.reader.buffered() > 0 {
             return;
         }
-        connection.used = clock::now();
-        if let Some(stated) = stated_idle_time(head) {
-            connection.idle_time = stated.mul_f64(IDLE_SHARE);
+        connection.last_used = clock::now();
+        if let Some(announced) = announced_idle_timeout(head) {
+            connection.idle_timeout = announced.mul_f64(IDLE_TIMEOUT_SHARE);
         }
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < self.most_idle.get() {
+        if idle.len() < self.max_idle.get() {
             idle.push(connection);
         }
     }
 
     /// Keeps fewer unused connections than an upstream accepts in all.
-    pub(super) fn bound(&self, connections: usize) {
-        let most = (connections / IDLE_PART).clamp(1, MOST_IDLE);
-        self.most_idle.set(most);
-        self.idle.borrow_mut().truncate(most);
+    pub(super) fn limit_idle(&self, connections: usize) {
+        let max_idle = (connections / IDLE_DIVISOR).clamp(1, MAX_IDLE);
+        self.max_idle.set(max_idle);
+        self.idle.borrow_mut().truncate(max_idle);
     }
 
     /// Closes all unused connections, as the upstream behind the address has changed.
@@ -109,19 +110,19 @@
     }
 
     async fn connect(&self) -> Result<Connection, DialError> {
-        let dialed = dial(self.target, None, CONNECT_TIME).await?;
+        let dialed = dial(self.target, None, CONNECT_TIMEOUT).await?;
         let (read, writer) = dialed.stream.into_split();
         Ok(Connection {
             reader: Reader::new(read),
             writer,
-            used: clock::now(),
-            idle_time: IDLE_TIME,
+            last_used: clock::now(),
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         })
     }
 }
 
 /// Returns for how long the upstream says that it keeps an unused connection.
-fn stated_idle_time(head: &ResponseHead) -> Option<Duration> {
+fn announced_idle_timeout(head: &ResponseHead) -> Option<Duration> {
     let value = head.fields.get("keep-alive")?;
     let mut parameters = value.split(',').filter_map(|part| part.split_once('='));
     let (_, seconds) = parameters.find(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"))?;
--- a/crates/mesh/src/gate/records.rs
+++ b/crates/mesh/src/gate/records.rs
@@ -20,11 +20,11 @@
 use crate::work::Returned;
 
 /// How long the end of a request is remembered: no client waits longer than this.
-const MEMORY: Duration = Duration::from_mins(1);
+const RETENTION: Duration = Duration::from_mins(1);
 /// How long an answer is kept for a caller whose connection broke; it asks within two seconds.
-const ANSWER_MEMORY: Duration = Duration::from_secs(5);
+const ANSWER_RETENTION: Duration = Duration::from_secs(5);
 /// The most bytes of answers that are kept.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// Where a request is in its life.
 enum Record {
@@ -61,15 +61,15 @@
 
 impl Records {
     /// Opens the record of a request, or returns nothing if there is one already.
-    pub(crate) fn begin(self: &Rc<Self>, attempt: &AttemptKey, now: Instant) -> Option<Place> {
-        self.forget_old(now);
+    pub(crate) fn begin(self: &Rc<Self>, attempt: &AttemptKey, now: Instant) -> Option<Entry> {
+        self.evict_expired(now);
         let mut records = self.by_attempt.borrow_mut();
         if records.contains_key(attempt) {
             return None;
         }
         records.insert(attempt.clone(), Record::Waiting);
         self.by_age.borrow_mut().push_back((now, attempt.clone()));
-        Some(Place {
+        Some(Entry {
             records: Rc::clone(self),
             attempt: attempt.clone(),
         })
@@ -77,7 +77,7 @@
 
     /// Returns what became of a request; one that never ran is refused for good.
     pub(crate) fn recall(&self, attempt: &AttemptKey, now: Instant) -> Recalled {
-        self.forget_old(now);
+        self.evict_expired(now);
         let mut records = self.by_attempt.borrow_mut();
         let Some(record) = records.get_mut(attempt) else {
             records.insert(attempt.clone(), Record::Refused);
@@ -108,21 +108,26 @@
     }
 
     /// Forgets a request that has not run; returns its record.
-    fn forget(&self, attempt: &AttemptKey) -> Option<Record> {
+    fn remove(&self, attempt: &AttemptKey) -> Option<Record> {
         self.by_attempt.borrow_mut().remove(attempt)
     }
 
     /// Notes the end of a request that ran or may have run; returns its record before that.
-    fn close(&self, attempt: &AttemptKey, returned: &Returned, now: Instant) -> Option<Record> {
+    fn record_end(
+        &self,
+        attempt: &AttemptKey,
+        returned: &Returned,
+        now: Instant,
+    ) -> Option<Record> {
         let copy = returned.copy();
         if copy.is_some() {
-            self.keep(attempt, returned, now);
+            self.retain_answer(attempt, returned, now);
         }
         let ended = Record::Ended(copy.map(Box::new));
         self.by_attempt.borrow_mut().insert(attempt.clone(), ended)
     }
 
-    fn keep(&self, attempt: &AttemptKey, answer: &Returned, now: Instant) {
+    fn retain_answer(&self, attempt: &AttemptKey, answer: &Returned, now: Instant) {
         let size = answer.head.len() + answer.body.whole().map_or(0, Bytes::len);
         self.answers
             .borrow_mut()
@@ -130,23 +135,23 @@
         self.answer_bytes.set(self.answer_bytes.get() + size);
     }
 
-    fn forget_old(&self, now: Instant) {
-        self.forget_answers(now);
+    fn evict_expired(&self, now: Instant) {
+        self.evict_answers(now);
         let mut by_age = self.by_age.borrow_mut();
-        let is_old =
-            |entry: &(Instant, AttemptKey)| now.saturating_duration_since(entry.0) >= MEMORY;
-        while by_age.front().is_some_and(is_old) {
+        let is_expired =
+            |entry: &(Instant, AttemptKey)| now.saturating_duration_since(entry.0) >= RETENTION;
+        while by_age.front().is_some_and(is_expired) {
             if let Some((_, attempt)) = by_age.pop_front() {
                 self.by_attempt.borrow_mut().remove(&attempt);
             }
         }
     }
 
-    fn forget_answers(&self, now: Instant) {
+    fn evict_answers(&self, now: Instant) {
         let mut answers = self.answers.borrow_mut();
-        while let Some((kept, attempt, size)) = answers.front() {
-            let is_old = now.saturating_duration_since(*kept) >= ANSWER_MEMORY;
-            if !is_old && self.answer_bytes.get() <= ANSWER_BYTES {
+        while let Some((added, attempt, size)) = answers.front() {
+            let is_expired = now.saturating_duration_since(*added) >= ANSWER_RETENTION;
+            if !is_expired && self.answer_bytes.get() <= MAX_ANSWER_BYTES {
                 return;
             }
             if let Some(record) = self.by_attempt.borrow_mut().get_mut(attempt) {
@@ -161,12 +166,12 @@
 /// The record of one request that is being brought to its end.
 ///
 /// Dropped before the request was sent, it is forgotten.
-pub(crate) struct Place {
+pub(crate) struct Entry {
     records: Rc<Records>,
     attempt: AttemptKey,
 }
 
-impl Place {
+impl Entry {
     /// Notes that the request is sent now; returns false if it was refused meanwhile.
     pub(crate) fn start(&self) -> bool {
         let mut records = self.records.by_attempt.borrow_mut();
@@ -183,11 +188,11 @@
     ///
     /// One that the upstream turned away is forgotten: its caller may try again, here too. If the
     /// caller asks for it instead, it is refused for good.
-    pub(crate) fn end(self, returned: &Returned, now: Instant) {
+    pub(crate) fn finish(self, returned: &Returned, now: Instant) {
         let ended = if returned.outcome == Outcome::NotRun {
-            self.records.forget(&self.attempt)
+            self.records.remove(&self.attempt)
         } else {
-            self.records.close(&self.attempt, returned, now)
+            self.records.record_end(&self.attempt, returned, now)
         };
         let Some(Record::Running(waiting)) = ended else {
             return;
@@ -200,7 +205,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Entry {
     fn drop(&mut self) {
         let mut records = self.records.by_attempt.borrow_mut();
         match records.get_mut(&self.attempt) {
--- a/crates/mesh/src/gate/records/tests.rs
+++ b/crates/mesh/src/gate/records/tests.rs
@@ -43,9 +43,9 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("it is new");
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
-    assert!(!place.start(), "it was refused while it waited");
+    assert!(!entry.start(), "it was refused while it waited");
 }
 
 #[test]
@@ -55,13 +55,13 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    assert!(place.start());
+    let entry = records.begin(&key, now).expect("it is new");
+    assert!(entry.start());
     let Recalled::Running(mut receiver) = records.recall(&key, now) else {
         panic!("it runs");
     };
     let answer = Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
-    place.end(&answer, now);
+    entry.finish(&answer, now);
     let told = receiver
         .try_recv()
         .expect("the sender lives")
@@ -77,9 +77,9 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    place.start();
-    place.end(
+    let entry = records.begin(&key, now).expect("it is new");
+    entry.start();
+    entry.finish(
         &Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done"))),
         now,
     );
@@ -97,9 +97,9 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    place.start();
-    drop(place);
+    let entry = records.begin(&key, now).expect("it is new");
+    entry.start();
+    drop(entry);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::Unknown);
 }
 
@@ -111,13 +111,13 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    drop(place);
-    let place = records.begin(&key, now).expect("it was not admitted");
-    assert!(place.start());
-    place.end(&Returned::turned_away(Reason::UpstreamShed), now);
-    let place = records.begin(&key, now).expect("it was turned away");
-    assert!(place.start());
+    let entry = records.begin(&key, now).expect("it is new");
+    drop(entry);
+    let entry = records.begin(&key, now).expect("it was not admitted");
+    assert!(entry.start());
+    entry.finish(&Returned::turned_away(Reason::UpstreamShed), now);
+    let entry = records.begin(&key, now).expect("it was turned away");
+    assert!(entry.start());
 }
 
 #[test]
@@ -127,9 +127,9 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    place.start();
-    place.end(&Returned::turned_away(Reason::UpstreamShed), now);
+    let entry = records.begin(&key, now).expect("it is new");
+    entry.start();
+    entry.finish(&Returned::turned_away(Reason::UpstreamShed), now);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
     assert!(
         records.begin(&key, now).is_none(),
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -11,7 +11,7 @@
 use crate::work::{Returned, Work};
 
 impl Gate {
-    pub(super) fn hold_back(&self, work: &Work, hold: Hold) -> Returned {
+    pub(super) fn refuse_held(&self, work: &Work, hold: Hold) -> Returned {
         match hold {
             Hold::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
             Hold::Path => Returned {
--- a/crates/mesh/src/gate/report.rs
+++ b/crates/mesh/src/gate/report.rs
@@ -13,31 +13,31 @@
 use crate::key::UpstreamKey;
 
 /// For how long a pace holds: it changes many times a second.
-const PACE_TIME: Duration = Duration::from_millis(250);
+const PACE_MAX_AGE: Duration = Duration::from_millis(250);
 
 /// The most bytes of a load that cannot be read that are logged.
-const MOST_SHOWN: usize = 64;
+const MAX_LOGGED_CHARS: usize = 64;
 
 /// What the own upstream said last about its load.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
-    paced: Cell<Option<(Pace, Moment)>>,
+    last_pace: Cell<Option<(Pace, Moment)>>,
     /// What was heard last.
-    last: Cell<Option<Load>>,
+    last_load: Cell<Option<Load>>,
     /// This life has said something that could not be read, which was logged.
-    is_unreadable: Cell<bool>,
+    has_logged_unreadable: Cell<bool>,
 }
 
 impl Report {
     /// Forgets everything, as another life of the upstream is there.
-    pub(super) fn renew(&self) {
-        self.paced.set(None);
-        self.last.set(None);
-        self.is_unreadable.set(false);
+    pub(super) fn reset(&self) {
+        self.last_pace.set(None);
+        self.last_load.set(None);
+        self.has_logged_unreadable.set(false);
     }
 
     /// Takes in what this life says of its load, and returns it if it can be read.
-    pub(crate) fn take(
+    pub(crate) fn update(
         &self,
         dialect: &dyn Dialect,
         upstream: &UpstreamKey,
@@ -46,26 +46,26 @@
     ) -> Option<Load> {
         let text = String::from_utf8_lossy(value);
         let load = dialect.load(&text);
-        if !load.is_some_and(|load| load.is_whole) && !self.is_unreadable.replace(true) {
-            let value: String = text.chars().take(MOST_SHOWN).collect();
+        if !load.is_some_and(|load| load.is_whole) && !self.has_logged_unreadable.replace(true) {
+            let value: String = text.chars().take(MAX_LOGGED_CHARS).collect();
             emit(
                 &catalogue::LOAD_UNREADABLE,
                 &[("upstream", upstream), ("value", &value)],
             );
         }
         let load = load?;
-        self.last.set(Some(load));
+        self.last_load.set(Some(load));
         if let Some(pace) = load.pace {
-            self.paced.set(Some((pace, now)));
+            self.last_pace.set(Some((pace, now)));
         }
         Some(load)
     }
 
     /// Returns how many times as long as usual work takes, by the pace and the queue that were told
     /// last: while nothing is heard, nothing says that they have become better.
-    pub(super) fn slowness(&self) -> f64 {
-        let pace = self.paced.get().map_or(1.0, |(pace, _)| pace.factor());
-        let queue = self.last.get().map_or(0.0, |load| {
+    pub(super) fn slowdown(&self) -> f64 {
+        let pace = self.last_pace.get().map_or(1.0, |(pace, _)| pace.factor());
+        let queue = self.last_load.get().map_or(0.0, |load| {
             f64::from(load.waiting) / f64::from(load.slots.max(1))
         });
         pace.max(1.0) * (1.0 + queue)
@@ -73,7 +73,7 @@
 
     /// Returns how long work takes on the instance at present, if that was heard lately.
     pub(crate) fn pace(&self, now: Moment) -> Option<Pace> {
-        let (pace, at) = self.paced.get()?;
-        (now.since(at) < PACE_TIME).then_some(pace)
+        let (pace, at) = self.last_pace.get()?;
+        (now.since(at) < PACE_MAX_AGE).then_some(pace)
     }
 }
--- a/crates/mesh/src/gate/report/tests.rs
+++ b/crates/mesh/src/gate/report/tests.rs
@@ -5,7 +5,7 @@
 use sailtrack_net::http::Request;
 use sailtrack_units::{Moment, Pace};
 
-use super::{PACE_TIME, Report};
+use super::{PACE_MAX_AGE, Report};
 use crate::configuration::Configuration;
 use crate::dialect::{Announcement, Dialect, DialectError, FieldNames, Load};
 use crate::key::UpstreamKey;
@@ -52,7 +52,7 @@
     let report = Report::default();
     let upstream = UpstreamKey::new("i-1", None).expect("a sound id");
     for value in values {
-        report.take(&PaceOnly, &upstream, value.as_bytes(), NOW);
+        report.update(&PaceOnly, &upstream, value.as_bytes(), NOW);
     }
     report
 }
@@ -62,7 +62,7 @@
     let report = told(&["250"]);
     let pace = Pace::from_percent(250).ok();
     assert_eq!(report.pace(NOW), pace);
-    let old = NOW + PACE_TIME;
+    let old = NOW + PACE_MAX_AGE;
     assert_eq!(report.pace(old.before(Duration::from_millis(1))), pace);
     assert_eq!(report.pace(old), None);
 }
@@ -76,7 +76,7 @@
 /// Two of three slots' worth of requests wait.
 #[test]
 fn slowness() {
-    let told = |values: &[&str]| told(values).slowness();
+    let told = |values: &[&str]| told(values).slowdown();
     let queue = 1.0 + 2.0 / 3.0;
     let is_near = |one: f64, other: f64| (one - other).abs() < 1e-9;
     assert!(is_near(told(&[]), 1.0));
@@ -100,6 +100,6 @@
 #[test]
 fn other_life() {
     let report = told(&["250"]);
-    report.renew();
+    report.reset();
     assert_eq!(report.pace(NOW), None);
 }
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -11,10 +11,10 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use super::Gate;
-use super::entered::Entered;
+use super::admitted::Admitted;
 use super::exchange::{ExchangeError, UpstreamAnswer, exchange};
-use super::silence::Waited;
 use super::upstream::Ended;
+use super::wait::Waited;
 use crate::clock;
 use crate::key::UpstreamKey;
 use crate::work::{Returned, Work};
@@ -27,29 +27,29 @@
     pub(super) async fn send(
         self: &Rc<Self>,
         work: &Work,
-        entered: &Entered,
+        admitted: &Admitted,
         until: Moment,
     ) -> Returned {
-        let upstream = &entered.upstream;
+        let upstream = &admitted.upstream;
         let entry = self.contexts.open(work, upstream);
         let exchange = exchange(&self.pool, self.dialect.fields(), upstream, work);
         // Its state would otherwise be kept once in each of the futures that it passes through.
         let exchange = exchange.boxed_local();
-        let exchange = until_ended(exchange, entered.ended.clone());
-        let sent = self.begin_wait(work, entered);
+        let exchange = until_ended(exchange, admitted.ended.clone());
+        let sent = self.track(work, admitted);
         let result = self
             .wait_for(&sent, &entry.context, clock::until(until, exchange))
             .await;
-        sent.note_end(&result, entered);
+        sent.record_end(&result, admitted);
         let returned = match result {
-            Waited::Over(Ok(Ok(answer))) => self.take_answer(work, entered, sent.at, answer),
-            Waited::Over(Ok(Err(error))) => self.take_error(work, upstream, &error).await,
-            Waited::Over(Err(_)) => Returned::unknown(Reason::Deadline),
-            Waited::Silent => Returned::unknown(Reason::Connection),
+            Waited::Finished(Ok(Ok(answer))) => self.take_answer(work, admitted, sent.at, answer),
+            Waited::Finished(Ok(Err(error))) => self.take_error(work, upstream, &error).await,
+            Waited::Finished(Err(_)) => Returned::unknown(Reason::Deadline),
+            Waited::GivenUp => Returned::unknown(Reason::Connection),
         };
         if returned.outcome == Outcome::Done {
             self.quarantine.record_answer(&work.identity);
-            sent.note_answer(&returned, self.upstream.report.slowness());
+            sent.record_answer(&returned, self.upstream.report.slowdown());
         }
         Returned {
             path_pressure: entry.context.pressure.get(),
@@ -62,11 +62,11 @@
     fn take_answer(
         &self,
         work: &Work,
-        entered: &Entered,
+        admitted: &Admitted,
         sent_at: Moment,
         answer: UpstreamAnswer,
     ) -> Returned {
-        let upstream = &entered.upstream;
+        let upstream = &admitted.upstream;
         let UpstreamAnswer { head, body } = answer;
         let fields = self.dialect.fields();
         if let Some(value) = head.fields.all(fields.load).next()
@@ -74,8 +74,9 @@
         {
             let (report, dialect) = (&self.upstream.report, &*self.dialect);
             let now = clock::now();
-            if let Some(load) = report.take(dialect, upstream, value, now) {
-                self.room.settle_soon(load.requests(), &entered.stay, now);
+            if let Some(load) = report.update(dialect, upstream, value, now) {
+                self.slots
+                    .reconcile_soon(load.requests(), &admitted.slot, now);
             }
         }
         let says_not_run = head.fields.get(fields.not_run).is_some();
@@ -85,7 +86,7 @@
             self.pool.clear();
             return Returned::turned_away(Reason::NoUpstream);
         }
-        self.watcher.note_answer(upstream, sent_at);
+        self.detector.record_answer(upstream, sent_at);
         if says_not_run {
             self.admission.note_shed(Instant::now());
             return Returned::turned_away(Reason::UpstreamShed);
@@ -109,7 +110,7 @@
             return Returned::refused(Reason::Deadline);
         }
         if error.is_unsent() {
-            self.upstream.note_unreachable(Instant::now());
+            self.upstream.record_unreachable(Instant::now());
             return Returned::refused(Reason::NoUpstream);
         }
         if self.has_crashed(upstream, &work.attempt, error).await {
--- a/crates/mesh/src/gate/room.rs
+++ b/crates/mesh/src/gate/slots.rs
@@ -23,86 +23,86 @@
 
 /// What was sent this long before an answer came is taken to have been read by the upstream when it
 /// wrote that: it is many times the way there.
-const READ_TIME: Duration = Duration::from_millis(10);
+const READ_DELAY: Duration = Duration::from_millis(10);
 
 /// Room whose request has no end yet that is known here.
-struct Kept {
+struct Retained {
     /// The number of the request, by the order of sending.
-    number: u64,
+    sequence: u64,
     /// Given back when it is dropped.
     #[allow(dead_code, reason = "it is held, not read")]
     permit: Permit,
 }
 
 /// The room of the own upstream.
-pub(super) struct Room {
+pub(super) struct Slots {
     /// The requests that were sent and wait for their answers, and when they were sent.
-    open: RefCell<BTreeMap<u64, Moment>>,
-    kept: RefCell<VecDeque<Kept>>,
-    next: Cell<u64>,
+    in_flight: RefCell<BTreeMap<u64, Moment>>,
+    retained: RefCell<VecDeque<Retained>>,
+    next_sequence: Cell<u64>,
     /// What is kept from now on, for the task that frees it in time.
-    begun: mpsc::UnboundedSender<(Moment, u64)>,
+    retentions: mpsc::UnboundedSender<(Moment, u64)>,
 }
 
-impl Room {
+impl Slots {
     /// Returns the room of an upstream, and what [`Room::free_in_time`] takes.
     pub(super) fn new() -> (Rc<Self>, mpsc::UnboundedReceiver<(Moment, u64)>) {
-        let (begun, receiver) = mpsc::unbounded();
-        let room = Self {
-            open: RefCell::default(),
-            kept: RefCell::default(),
-            next: Cell::default(),
-            begun,
+        let (retentions, receiver) = mpsc::unbounded();
+        let slots = Self {
+            in_flight: RefCell::default(),
+            retained: RefCell::default(),
+            next_sequence: Cell::default(),
+            retentions,
         };
-        (Rc::new(room), receiver)
+        (Rc::new(slots), receiver)
     }
 
     /// Frees what is kept when its time is over.
     ///
     /// Room is kept where futures are dropped, also at the end of the process, when no task can
     /// be started any more.
-    pub(super) async fn free_in_time(
+    pub(super) async fn release_expired(
         self: Rc<Self>,
-        mut begun: mpsc::UnboundedReceiver<(Moment, u64)>,
+        mut retentions: mpsc::UnboundedReceiver<(Moment, u64)>,
     ) {
-        while let Some((until, number)) = begun.next().await {
-            let room = Rc::clone(&self);
+        while let Some((until, sequence)) = retentions.next().await {
+            let slots = Rc::clone(&self);
             task::spawn("kept room", async move {
                 // It is over with the time.
                 let _ = clock::until(until, std::future::pending::<()>()).await;
-                if room.free(number) {
-                    note_freed(1, "time", 0, room.open.borrow().len());
+                if slots.release(sequence) {
+                    log_released(1, "time", 0, slots.in_flight.borrow().len());
                 }
             });
         }
     }
 
     /// Takes the place of a request that is about to be sent.
-    pub(super) fn enter(self: &Rc<Self>, permit: Permit) -> Stay {
-        Stay {
-            room: Rc::clone(self),
+    pub(super) fn admit(self: &Rc<Self>, permit: Permit) -> Slot {
+        Slot {
+            slots: Rc::clone(self),
             permit: RefCell::new(Some(permit)),
-            number: Cell::default(),
+            sequence: Cell::default(),
             state: Cell::new(State::Unsent),
         }
     }
 
     /// Returns how many requests take room whose end is not known.
     #[cfg(test)]
-    pub(super) fn kept(&self) -> usize {
-        self.kept.borrow().len()
+    pub(super) fn retained(&self) -> usize {
+        self.retained.borrow().len()
     }
 
     /// Takes in how many requests the upstream works on and holds in its queue, as an answer that
     /// has just come tells, once answers that were written before it are read as well.
-    pub(super) fn settle_soon(self: &Rc<Self>, told: usize, answered: &Stay, came: Moment) {
-        if self.kept.borrow().is_empty() {
+    pub(super) fn reconcile_soon(self: &Rc<Self>, reported: usize, answered: &Slot, came: Moment) {
+        if self.retained.borrow().is_empty() {
             return;
         }
-        let (room, number) = (Rc::clone(self), answered.number.get());
+        let (slots, sequence) = (Rc::clone(self), answered.sequence.get());
         task::spawn("told room", async move {
             sleep(LAST_LOOK).await;
-            room.settle(told, number, came);
+            slots.reconcile(reported, sequence, came);
         });
     }
 
@@ -111,88 +111,98 @@
     ///
     /// It says nothing of what was sent after it was written. So it frees only what was sent before
     /// the request that it answers, and what is open here counts if the upstream had read it.
-    fn settle(&self, told: usize, answered: u64, came: Moment) {
-        let is_counted = |(number, sent): &(&u64, &Moment)| {
-            **number < answered || came.since(**sent) >= READ_TIME
+    fn reconcile(&self, reported: usize, answered: u64, came: Moment) {
+        let is_counted = |(sequence, sent): &(&u64, &Moment)| {
+            **sequence < answered || came.since(**sent) >= READ_DELAY
         };
-        let counted = self.open.borrow().iter().filter(is_counted).count();
-        let there = told.saturating_sub(counted);
-        let ended = self.take_earlier(answered, there);
-        note_freed(ended.len(), "load", told, counted);
+        let counted = self.in_flight.borrow().iter().filter(is_counted).count();
+        let there = reported.saturating_sub(counted);
+        let ended = self.take_older(answered, there);
+        log_released(ended.len(), "load", reported, counted);
         // Each lets the next waiting request in, which may come back here.
         drop(ended);
     }
 
     /// Takes out the oldest of what was sent before a request, and leaves so many of these.
-    fn take_earlier(&self, answered: u64, left: usize) -> VecDeque<Kept> {
-        let mut kept = self.kept.borrow_mut();
-        let earlier = kept.iter().filter(|one| one.number < answered).count();
+    fn take_older(&self, answered: u64, left: usize) -> VecDeque<Retained> {
+        let mut retained = self.retained.borrow_mut();
+        let earlier = retained
+            .iter()
+            .filter(|one| one.sequence < answered)
+            .count();
         let mut ending = earlier.saturating_sub(left);
         if ending == 0 {
             return VecDeque::new();
         }
-        let (ended, others) = kept.drain(..).partition(|one| {
-            let ends = ending > 0 && one.number < answered;
+        let (ended, others) = retained.drain(..).partition(|one| {
+            let ends = ending > 0 && one.sequence < answered;
             ending -= usize::from(ends);
             ends
         });
-        *kept = others;
+        *retained = others;
         ended
     }
 
     /// Takes in that the upstream works on this many requests that an earlier process sent, until
     /// the last of them may be over. One place is left, by whose answer their end is heard of.
-    pub(super) fn adopt(&self, admission: &Rc<Admission>, told: usize, until: Moment) {
+    pub(super) fn reserve_reported(
+        &self,
+        admission: &Rc<Admission>,
+        reported: usize,
+        until: Moment,
+    ) {
         let most = admission.limit(Instant::now()).saturating_sub(1);
-        for _ in 0..told.min(most) {
+        for _ in 0..reported.min(most) {
             let left = until.since(clock::now());
             let Arrival::Admitted(permit) = admission.arrive(Rank::LOWEST, false, left) else {
                 return;
             };
-            self.keep(self.number(), permit, until);
+            self.retain(self.sequence(), permit, until);
         }
     }
 
     /// Frees all that is kept, as another life of the upstream is there.
-    pub(super) fn clear(&self) {
-        let kept = self.kept.take();
-        drop(kept);
+    pub(super) fn release_all(&self) {
+        let retained = self.retained.take();
+        drop(retained);
     }
 
     /// Keeps room until a moment, unless it is known before that it is free.
-    fn keep(&self, number: u64, permit: Permit, until: Moment) {
-        self.kept.borrow_mut().push_back(Kept { number, permit });
+    fn retain(&self, sequence: u64, permit: Permit, until: Moment) {
+        self.retained
+            .borrow_mut()
+            .push_back(Retained { sequence, permit });
         // The task is gone at the end of the process only.
-        let _ = self.begun.unbounded_send((until, number));
+        let _ = self.retentions.unbounded_send((until, sequence));
     }
 
     /// Returns the number of the next request.
-    fn number(&self) -> u64 {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        number
+    fn sequence(&self) -> u64 {
+        let sequence = self.next_sequence.get();
+        self.next_sequence.set(sequence + 1);
+        sequence
     }
 
     /// Returns true if it was kept until now.
-    fn free(&self, number: u64) -> bool {
+    fn release(&self, sequence: u64) -> bool {
         let freed = {
-            let mut kept = self.kept.borrow_mut();
-            let place = kept.iter().position(|one| one.number == number);
-            place.and_then(|place| kept.remove(place))
+            let mut retained = self.retained.borrow_mut();
+            let place = retained.iter().position(|one| one.sequence == sequence);
+            place.and_then(|place| retained.remove(place))
         };
         freed.is_some()
     }
 }
 
-fn note_freed(requests: usize, because: &str, told: usize, open: usize) {
+fn log_released(requests: usize, reason: &str, reported: usize, in_flight: usize) {
     if requests > 0 {
         emit(
             &catalogue::ROOM_FREED,
             &[
                 ("requests", &requests),
-                ("because", &because),
-                ("told", &told),
-                ("open", &open),
+                ("because", &reason),
+                ("told", &reported),
+                ("open", &in_flight),
             ],
         );
     }
@@ -203,64 +213,67 @@
 enum State {
     Unsent,
     /// Dropped now, its room is kept until this moment.
-    Sent(Moment),
+    InFlight(Moment),
     /// Its room is kept.
-    Kept,
-    Ended,
+    Retained,
+    Released,
 }
 
 /// The place of one request, given back when it is dropped and the upstream is done with it.
-pub(super) struct Stay {
-    room: Rc<Room>,
+pub(super) struct Slot {
+    slots: Rc<Slots>,
     permit: RefCell<Option<Permit>>,
     /// Its number, once it is sent.
-    number: Cell<u64>,
+    sequence: Cell<u64>,
     state: Cell<State>,
 }
 
-impl Stay {
+impl Slot {
     /// Notes that it is sent now; if nobody waits for it any more, the upstream may work on it
     /// until then.
-    pub(super) fn begin(&self, now: Moment, until: Moment) {
-        self.number.set(self.room.number());
-        let mut open = self.room.open.borrow_mut();
-        open.insert(self.number.get(), now);
-        self.state.set(State::Sent(until));
+    pub(super) fn start(&self, now: Moment, until: Moment) {
+        self.sequence.set(self.slots.sequence());
+        let mut in_flight = self.slots.in_flight.borrow_mut();
+        in_flight.insert(self.sequence.get(), now);
+        self.state.set(State::InFlight(until));
     }
 
     /// Notes that the upstream is done with it, or never had it.
-    pub(super) fn end(&self) {
-        match self.state.replace(State::Ended) {
-            State::Sent(_) => self.close(),
-            State::Kept => {
-                self.room.free(self.number.get());
+    pub(super) fn finish(&self) {
+        match self.state.replace(State::Released) {
+            State::InFlight(_) => self.forget_in_flight(),
+            State::Retained => {
+                self.slots.release(self.sequence.get());
             }
-            State::Unsent | State::Ended => {}
+            State::Unsent | State::Released => {}
         }
     }
 
     /// Notes that nobody expects an answer any more; the upstream may work on it until then.
-    pub(super) fn give_up(&self, until: Moment) {
-        if !matches!(self.state.get(), State::Sent(_)) {
+    pub(super) fn abandon(&self, until: Moment) {
+        if !matches!(self.state.get(), State::InFlight(_)) {
             return;
         }
-        self.close();
-        self.state.set(State::Ended);
+        self.forget_in_flight();
+        self.state.set(State::Released);
         if let Some(permit) = self.permit.take() {
-            self.state.set(State::Kept);
-            self.room.keep(self.number.get(), permit, until);
+            self.state.set(State::Retained);
+            self.slots.retain(self.sequence.get(), permit, until);
         }
     }
 
-    fn close(&self) {
-        self.room.open.borrow_mut().remove(&self.number.get());
+    fn forget_in_flight(&self) {
+        self.slots
+            .in_flight
+            .borrow_mut()
+            .remove(&self.sequence.get());
     }
 }
 
-impl Drop for Stay {
+impl Drop for Slot {
     fn drop(&mut self) {
-        if let State::Sent(until) = self.state.get() {
-            self.give_up(until);
+        if let State::InFlight(until) = self.state.get() {
+            self.abandon(until);
         }
     }
 }
--- a/crates/mesh/src/gate/room/tests.rs
+++ b/crates/mesh/src/gate/slots/tests.rs
@@ -9,7 +9,7 @@
 use sailtrack_net::{runtime, task};
 use sailtrack_units::Rank;
 
-use super::{READ_TIME, Room, Stay};
+use super::{READ_DELAY, Slot, Slots};
 use crate::clock;
 use crate::node::ADMISSION_RULES;
 
@@ -17,16 +17,16 @@
 
 struct Upstream {
     admission: Rc<Admission>,
-    room: Rc<Room>,
+    slots: Rc<Slots>,
 }
 
 impl Upstream {
     fn with_slots(slots: u32) -> Self {
         let admission = Rc::new(Admission::new(ADMISSION_RULES, Instant::now()));
         admission.declare_limit(Limit::Fixed(slots));
-        let (room, kept) = Room::new();
-        task::spawn("room", Rc::clone(&room).free_in_time(kept));
-        Self { admission, room }
+        let (slots, retentions) = Slots::new();
+        task::spawn("room", Rc::clone(&slots).release_expired(retentions));
+        Self { admission, slots }
     }
 
     fn permit(&self) -> Option<Permit> {
@@ -37,24 +37,24 @@
     }
 
     /// Sends a request that the upstream may work on for this time.
-    fn send(&self, time: Duration) -> Stay {
-        let stay = self.room.enter(self.permit().expect("there is room"));
+    fn send(&self, time: Duration) -> Slot {
+        let slot = self.slots.admit(self.permit().expect("there is room"));
         let now = clock::now();
-        stay.begin(now, now + time);
-        stay
+        slot.start(now, now + time);
+        slot
     }
 
     /// Takes in what the answer to a request that is sent now tells.
-    fn settle(&self, told: usize) {
+    fn reconcile(&self, told: usize) {
         self.answer(self.send(LEFT), told);
     }
 
     /// Takes in what the answer to a request tells; returns the number of the request.
-    fn answer(&self, answered: Stay, told: usize) -> u64 {
-        let number = answered.number.get();
-        answered.end();
+    fn answer(&self, answered: Slot, told: usize) -> u64 {
+        let number = answered.sequence.get();
+        answered.finish();
         drop(answered);
-        self.room.settle(told, number, clock::now());
+        self.slots.reconcile(told, number, clock::now());
         number
     }
 
@@ -71,16 +71,16 @@
 fn ended() {
     play(async || {
         let upstream = Upstream::with_slots(2);
-        let stay = upstream.send(LEFT);
-        stay.end();
+        let slot = upstream.send(LEFT);
+        slot.finish();
         assert_eq!(upstream.used(), 1, "its answer may still be read");
-        drop(stay);
-        assert_eq!((upstream.used(), upstream.room.kept()), (0, 0));
+        drop(slot);
+        assert_eq!((upstream.used(), upstream.slots.retained()), (0, 0));
         // One that was never sent takes nothing.
         drop(
             upstream
-                .room
-                .enter(upstream.permit().expect("there is room")),
+                .slots
+                .admit(upstream.permit().expect("there is room")),
         );
         assert_eq!(upstream.used(), 0);
     });
@@ -95,7 +95,7 @@
         assert_eq!(upstream.used(), 2);
         assert!(upstream.permit().is_none(), "the upstream may work on them");
         sleep(Duration::from_millis(100)).await;
-        assert_eq!((upstream.used(), upstream.room.kept()), (0, 0));
+        assert_eq!((upstream.used(), upstream.slots.retained()), (0, 0));
     });
 }
 
@@ -107,13 +107,13 @@
         for _ in 0..3 {
             drop(upstream.send(LEFT));
         }
-        upstream.settle(4);
-        assert_eq!(upstream.room.kept(), 3, "all are there");
-        upstream.settle(2);
-        assert_eq!((upstream.room.kept(), upstream.used()), (1, 2));
-        upstream.settle(0);
-        assert_eq!((upstream.room.kept(), upstream.used()), (0, 1));
-        open.end();
+        upstream.reconcile(4);
+        assert_eq!(upstream.slots.retained(), 3, "all are there");
+        upstream.reconcile(2);
+        assert_eq!((upstream.slots.retained(), upstream.used()), (1, 2));
+        upstream.reconcile(0);
+        assert_eq!((upstream.slots.retained(), upstream.used()), (0, 1));
+        open.finish();
     });
 }
 
@@ -122,16 +122,16 @@
 fn silent() {
     play(async || {
         let upstream = Upstream::with_slots(5);
-        let stay = upstream.send(LEFT);
-        stay.give_up(clock::now() + LEFT);
-        assert_eq!((upstream.room.kept(), upstream.used()), (1, 1));
-        stay.end();
-        assert_eq!((upstream.room.kept(), upstream.used()), (0, 0));
-        let stay = upstream.send(LEFT);
-        stay.give_up(clock::now() + LEFT);
-        upstream.settle(0);
+        let slot = upstream.send(LEFT);
+        slot.abandon(clock::now() + LEFT);
+        assert_eq!((upstream.slots.retained(), upstream.used()), (1, 1));
+        slot.finish();
+        assert_eq!((upstream.slots.retained(), upstream.used()), (0, 0));
+        let slot = upstream.send(LEFT);
+        slot.abandon(clock::now() + LEFT);
+        upstream.reconcile(0);
         assert_eq!(upstream.used(), 0, "it is not there");
-        drop(stay);
+        drop(slot);
         assert_eq!(upstream.used(), 0);
     });
 }
@@ -141,11 +141,13 @@
     play(async || {
         let upstream = Upstream::with_slots(4);
         let until = clock::now() + Duration::from_millis(60);
-        upstream.room.adopt(&upstream.admission, 9, until);
+        upstream
+            .slots
+            .reserve_reported(&upstream.admission, 9, until);
         assert_eq!(upstream.used(), 3, "one is left to hear from");
-        let stay = upstream.send(LEFT);
-        stay.end();
-        drop(stay);
+        let slot = upstream.send(LEFT);
+        slot.finish();
+        drop(slot);
         sleep(Duration::from_millis(100)).await;
         assert_eq!(upstream.used(), 0);
     });
@@ -156,7 +158,7 @@
     play(async || {
         let upstream = Upstream::with_slots(4);
         drop(upstream.send(LEFT));
-        upstream.room.clear();
+        upstream.slots.release_all();
         assert_eq!(upstream.used(), 0);
     });
 }
@@ -169,9 +171,9 @@
         let answered = upstream.send(LEFT);
         drop(upstream.send(LEFT));
         upstream.answer(answered, 0);
-        assert_eq!(upstream.room.kept(), 1, "it was not there yet");
-        upstream.settle(0);
-        assert_eq!(upstream.room.kept(), 0, "it has ended");
+        assert_eq!(upstream.slots.retained(), 1, "it was not there yet");
+        upstream.reconcile(0);
+        assert_eq!(upstream.slots.retained(), 0, "it has ended");
     });
 }
 
@@ -184,10 +186,10 @@
         let answered = upstream.send(LEFT);
         let later = upstream.send(LEFT);
         let number = upstream.answer(answered, 1);
-        assert_eq!(upstream.room.kept(), 1, "the upstream may work on it");
-        let came = clock::now() + READ_TIME;
-        upstream.room.settle(1, number, came);
-        assert_eq!(upstream.room.kept(), 0, "the other one is counted");
-        later.end();
+        assert_eq!(upstream.slots.retained(), 1, "the upstream may work on it");
+        let came = clock::now() + READ_DELAY;
+        upstream.slots.reconcile(1, number, came);
+        assert_eq!(upstream.slots.retained(), 0, "the other one is counted");
+        later.finish();
     });
 }
--- a/crates/mesh/src/gate/doubt.rs
+++ b/crates/mesh/src/gate/suspicion.rs
@@ -19,35 +19,35 @@
 /// For how long a loss may turn out to have been a crash. Whatever holds the port of an upstream
 /// starts it again within a second or two, and connections that are closed at once keep the doubt
 /// alive meanwhile.
-const DOUBT_TIME: Duration = Duration::from_secs(3);
+const SUSPICION_DURATION: Duration = Duration::from_secs(3);
 /// The most requests that are doubted at once: as many as the event of a crash names.
-const MOST_DOUBTED: usize = 200;
+const MAX_SUSPECTS: usize = 200;
 
 /// What ran in one life of the upstream when connections to it broke.
 #[derive(Debug)]
-pub(super) struct Doubt {
+pub(super) struct Suspicion {
     upstream: UpstreamKey,
-    ran: Vec<Rc<Context>>,
+    suspects: Vec<Rc<Context>>,
     /// When the last connection broke.
-    at: Moment,
+    last_loss: Moment,
 }
 
-impl Doubt {
+impl Suspicion {
     /// Returns a doubt about a life of the upstream whose connection has just broken.
     pub(super) fn new(upstream: UpstreamKey, now: Moment) -> Self {
         Self {
             upstream,
-            ran: Vec::new(),
-            at: now,
+            suspects: Vec::new(),
+            last_loss: now,
         }
     }
 
     /// Adds what ran when a further connection broke.
-    pub(super) fn add(&mut self, ran: &[Rc<Context>], now: Moment) {
-        self.at = now;
-        for one in ran {
-            if self.ran.len() < MOST_DOUBTED {
-                push_new(&mut self.ran, one);
+    pub(super) fn add(&mut self, suspects: &[Rc<Context>], now: Moment) {
+        self.last_loss = now;
+        for one in suspects {
+            if self.suspects.len() < MAX_SUSPECTS {
+                push_new(&mut self.suspects, one);
             }
         }
     }
@@ -58,14 +58,14 @@
     }
 
     /// Returns true while the loss may turn out to have been a crash.
-    pub(super) fn is_fresh(&self, now: Moment) -> bool {
-        now.since(self.at) < DOUBT_TIME
+    pub(super) fn is_current(&self, now: Moment) -> bool {
+        now.since(self.last_loss) < SUSPICION_DURATION
     }
 
     /// Returns true if an answer to a request that was sent at this moment shows that the upstream
     /// lives on.
-    pub(super) fn is_settled_by(&self, sent: Moment) -> bool {
-        sent > self.at
+    pub(super) fn is_refuted_by(&self, sent: Moment) -> bool {
+        sent > self.last_loss
     }
 
     /// Returns the life that it is about.
@@ -74,8 +74,8 @@
     }
 
     /// Joins what ran there to what has no answer yet, all of it.
-    pub(super) fn join_to(&self, running: &mut Vec<Rc<Context>>) {
-        for one in &self.ran {
+    pub(super) fn add_to(&self, running: &mut Vec<Rc<Context>>) {
+        for one in &self.suspects {
             push_new(running, one);
         }
     }
--- a/crates/mesh/src/gate/patience/tests.rs
+++ b/crates/mesh/src/gate/timeout/tests.rs
@@ -2,45 +2,45 @@
 
 use std::time::Duration;
 
-use super::{Decision, LEAST, Usual, Waiting};
+use super::{Decision, Latency, MIN_TIMEOUT, Pending};
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 /// Half of its kind take 100 ms or less, all but few 400 ms.
-const USUAL: Usual = Usual {
-    middle: ms(100),
-    late: ms(300),
-    longest: ms(400),
+const LATENCY: Latency = Latency {
+    median: ms(100),
+    p95: ms(300),
+    p99: ms(400),
 };
 
-const WAITING: Waiting = Waiting {
+const PENDING: Pending = Pending {
     waited: ms(0),
-    left: ms(5000),
-    usual: Some(USUAL),
-    slowness: 1.0,
-    doubted: Duration::ZERO,
+    remaining: ms(5000),
+    latency: Some(LATENCY),
+    slowdown: 1.0,
+    last_abandoned: Duration::ZERO,
     overtaken: 0,
-    silent: 0.0,
+    unanswered_share: 0.0,
     is_lenient: false,
 };
 
 /// Plays the waiting to its end: how long it lasts, or nothing if it is waited to the deadline.
-fn given_up_after(begin: Waiting) -> Option<Duration> {
+fn given_up_after(begin: Pending) -> Option<Duration> {
     let mut now = begin;
     loop {
         match now.decide() {
             Decision::GiveUp => return Some(now.waited),
-            Decision::Wait(_) if now.left.is_zero() => return None,
+            Decision::Wait(_) if now.remaining.is_zero() => return None,
             Decision::Wait(time) => {
                 assert!(
                     time > Duration::ZERO,
                     "it is looked at again at once: {now:?}"
                 );
-                let time = time.min(now.left);
+                let time = time.min(now.remaining);
                 now.waited += time;
-                now.left -= time;
+                now.remaining -= time;
             }
         }
     }
@@ -48,19 +48,19 @@
 
 #[test]
 fn passed_over() {
-    let waiting = Waiting {
+    let waiting = Pending {
         overtaken: 5,
-        ..WAITING
+        ..PENDING
     };
     assert_eq!(given_up_after(waiting), Some(ms(1000)));
 }
 
 #[test]
 fn nobody_answered() {
-    assert_eq!(given_up_after(WAITING), Some(ms(1600)));
-    let by_chance = Waiting {
+    assert_eq!(given_up_after(PENDING), Some(ms(1600)));
+    let by_chance = Pending {
         overtaken: 1,
-        ..WAITING
+        ..PENDING
     };
     assert_eq!(given_up_after(by_chance), Some(ms(1600)));
 }
@@ -68,10 +68,10 @@
 /// Passed by others only later: it is looked at again before the long time is over.
 #[test]
 fn passed_over_later() {
-    let mut waiting = Waiting {
+    let mut waiting = Pending {
         waited: ms(1100),
-        left: ms(3900),
-        ..WAITING
+        remaining: ms(3900),
+        ..PENDING
     };
     let Decision::Wait(time) = waiting.decide() else {
         panic!("nobody has passed it");
@@ -83,10 +83,10 @@
 
 #[test]
 fn nothing_known() {
-    let waiting = Waiting {
-        usual: None,
+    let waiting = Pending {
+        latency: None,
         overtaken: 100,
-        ..WAITING
+        ..PENDING
     };
     assert_eq!(given_up_after(waiting), None);
 }
@@ -94,10 +94,10 @@
 /// The machine says itself that work takes three times as long.
 #[test]
 fn slow_machine() {
-    let waiting = Waiting {
-        slowness: 3.0,
+    let waiting = Pending {
+        slowdown: 3.0,
         overtaken: 5,
-        ..WAITING
+        ..PENDING
     };
     assert_eq!(given_up_after(waiting), Some(ms(3000)));
 }
@@ -105,10 +105,10 @@
 /// What has made calls, or was sent elsewhere before, is waited for as if nobody had passed it.
 #[test]
 fn lenient() {
-    let waiting = Waiting {
+    let waiting = Pending {
         overtaken: 5,
         is_lenient: true,
-        ..WAITING
+        ..PENDING
     };
     assert_eq!(given_up_after(waiting), Some(ms(1600)));
 }
@@ -116,16 +116,16 @@
 /// With too little time for another upstream nothing is gained.
 #[test]
 fn no_time_left() {
-    let waiting = Waiting {
-        left: ms(1050),
+    let waiting = Pending {
+        remaining: ms(1050),
         overtaken: 5,
-        ..WAITING
+        ..PENDING
     };
     assert_eq!(given_up_after(waiting), None);
-    let enough = Waiting {
-        left: ms(1110),
+    let enough = Pending {
+        remaining: ms(1110),
         overtaken: 5,
-        ..WAITING
+        ..PENDING
     };
     assert_eq!(given_up_after(enough), Some(ms(1000)));
 }
@@ -133,16 +133,16 @@
 /// One in some dozens takes seven times as long as most; none of these has been seen yet.
 #[test]
 fn seldom_long_work() {
-    let usual = Usual {
-        middle: ms(370),
-        late: ms(500),
-        longest: ms(600),
-    };
-    let waiting = Waiting {
-        left: ms(10_000),
-        usual: Some(usual),
+    let latency = Latency {
+        median: ms(370),
+        p95: ms(500),
+        p99: ms(600),
+    };
+    let waiting = Pending {
+        remaining: ms(10_000),
+        latency: Some(latency),
         overtaken: 50,
-        ..WAITING
+        ..PENDING
     };
     let given_up = given_up_after(waiting).expect("it is silent");
     assert!(given_up > ms(370) * 7, "{given_up:?}");
@@ -151,28 +151,28 @@
 /// A kind that takes 2 ms is not given up in the pauses of a busy machine.
 #[test]
 fn short_kinds() {
-    let usual = Usual {
-        middle: ms(1),
-        late: ms(2),
-        longest: ms(2),
+    let latency = Latency {
+        median: ms(1),
+        p95: ms(2),
+        p99: ms(2),
     };
-    let waiting = Waiting {
-        usual: Some(usual),
+    let waiting = Pending {
+        latency: Some(latency),
         overtaken: 50,
-        ..WAITING
+        ..PENDING
     };
-    assert_eq!(given_up_after(waiting), Some(LEAST));
+    assert_eq!(given_up_after(waiting), Some(MIN_TIMEOUT));
 }
 
 /// While one was given up in vain and none has been quick since, the next are waited for longer.
 #[test]
 fn in_doubt() {
-    let waiting = Waiting {
-        doubted: ms(2000),
-        ..WAITING
+    let waiting = Pending {
+        last_abandoned: ms(2000),
+        ..PENDING
     };
     assert_eq!(given_up_after(waiting), Some(ms(4000)));
-    let passed = Waiting {
+    let passed = Pending {
         overtaken: 5,
         ..waiting
     };
@@ -183,18 +183,18 @@
 /// have passed it. What has made calls is not.
 #[test]
 fn many_silent() {
-    let waiting = Waiting {
-        silent: 0.3,
-        ..WAITING
+    let waiting = Pending {
+        unanswered_share: 0.3,
+        ..PENDING
     };
     assert_eq!(given_up_after(waiting), Some(ms(400)));
-    let passed = Waiting {
+    let passed = Pending {
         overtaken: 3,
         ..waiting
     };
     assert_eq!(given_up_after(passed), Some(ms(300)));
-    let in_doubt = Waiting {
-        doubted: ms(400),
+    let in_doubt = Pending {
+        last_abandoned: ms(400),
         ..waiting
     };
     assert_eq!(
@@ -202,13 +202,13 @@
         Some(ms(800)),
         "it may have become slow"
     );
-    let running = Waiting {
+    let running = Pending {
         is_lenient: true,
         ..passed
     };
     assert_eq!(given_up_after(running), Some(ms(1600)));
-    let few = Waiting {
-        silent: 0.1,
+    let few = Pending {
+        unanswered_share: 0.1,
         ..passed
     };
     assert_eq!(given_up_after(few), Some(ms(1000)));
--- a/crates/mesh/src/gate/upstream/tests.rs
+++ b/crates/mesh/src/gate/upstream/tests.rs
@@ -8,7 +8,7 @@
 use sailtrack_units::Timestamp;
 
 use crate::dialect::{Beat, Readiness};
-use crate::gate::upstream::{SILENCE, Upstream, limit};
+use crate::gate::upstream::{MAX_SILENCE, Upstream, limit};
 use crate::key::UpstreamKey;
 use crate::node::ADMISSION_RULES;
 use crate::retired::Retired;
@@ -27,7 +27,7 @@
     UpstreamKey::new(id, started.map(Timestamp)).expect("a sound id")
 }
 
-fn beat(upstream: UpstreamKey, sequence: u64) -> Beat {
+fn heartbeat(upstream: UpstreamKey, sequence: u64) -> Beat {
     Beat {
         upstream,
         service: "bank".parse().expect("a name"),
@@ -48,9 +48,9 @@
 fn started_again() {
     let now = Instant::now();
     let upstream = upstream(now);
-    upstream.handle_heartbeat(&beat(key("i-1", Some(FIRST)), 50), now);
+    upstream.handle_heartbeat(&heartbeat(key("i-1", Some(FIRST)), 50), now);
     let first = upstream.ended();
-    upstream.handle_heartbeat(&beat(key("i-1", Some(SECOND)), 1), now);
+    upstream.handle_heartbeat(&heartbeat(key("i-1", Some(SECOND)), 1), now);
     assert_eq!(upstream.ready(now), Some(key("i-1", Some(SECOND))));
     let has_ended = |ended| futures::FutureExt::now_or_never(ended).is_some();
     assert!(has_ended(first), "who waits for the first is told");
@@ -61,9 +61,9 @@
 fn late_beat() {
     let now = Instant::now();
     let upstream = upstream(now);
-    upstream.handle_heartbeat(&beat(key("i-2", Some(SECOND)), 1), now);
-    let late = beat(key("i-1", Some(FIRST)), 50);
-    let soon = now + SILENCE / 2;
+    upstream.handle_heartbeat(&heartbeat(key("i-2", Some(SECOND)), 1), now);
+    let late = heartbeat(key("i-1", Some(FIRST)), 50);
+    let soon = now + MAX_SILENCE / 2;
     assert!(!upstream.is_new_incarnation(&late, soon));
     upstream.handle_heartbeat(&late, soon);
     assert_eq!(upstream.ready(now), Some(key("i-2", Some(SECOND))));
@@ -75,13 +75,13 @@
     let now = Instant::now();
     let upstream = upstream(now);
     let (later, earlier) = (key("i-1", Some(SECOND)), key("i-1", Some(FIRST)));
-    upstream.handle_heartbeat(&beat(later.clone(), 1), now);
-    let now = now + SILENCE;
-    let only_one = beat(earlier.clone(), 9);
+    upstream.handle_heartbeat(&heartbeat(later.clone(), 1), now);
+    let now = now + MAX_SILENCE;
+    let only_one = heartbeat(earlier.clone(), 9);
     assert!(upstream.is_new_incarnation(&only_one, now));
     upstream.handle_heartbeat(&only_one, now);
     assert_eq!(upstream.ready(now), Some(earlier));
-    upstream.handle_heartbeat(&beat(later.clone(), 2), now);
+    upstream.handle_heartbeat(&heartbeat(later.clone(), 2), now);
     assert_eq!(upstream.ready(now), Some(later), "it was only silent");
 }
 
@@ -90,12 +90,12 @@
 fn named_later() {
     let now = Instant::now();
     let upstream = upstream(now);
-    let begun = Rc::new(Cell::new(0));
-    let count = Rc::clone(&begun);
+    let starts = Rc::new(Cell::new(0));
+    let count = Rc::clone(&starts);
     upstream.on_new_incarnation(move || count.set(count.get() + 1));
-    upstream.handle_heartbeat(&beat(key("i-1", None), 0), now);
-    upstream.handle_heartbeat(&beat(key("i-1", Some(FIRST)), 0), now);
-    assert_eq!(begun.get(), 1);
+    upstream.handle_heartbeat(&heartbeat(key("i-1", None), 0), now);
+    upstream.handle_heartbeat(&heartbeat(key("i-1", Some(FIRST)), 0), now);
+    assert_eq!(starts.get(), 1);
     assert_eq!(upstream.ready(now), Some(key("i-1", Some(FIRST))));
 }
 
@@ -104,14 +104,14 @@
     let now = Instant::now();
     let upstream = upstream(now);
     let second = key("i-1", Some(SECOND));
-    upstream.handle_heartbeat(&beat(second.clone(), 1), now);
+    upstream.handle_heartbeat(&heartbeat(second.clone(), 1), now);
     upstream.retire(&key("i-1", Some(FIRST)), "leaving");
     assert_eq!(upstream.ready(now), Some(second.clone()));
     let retired = upstream.retire(&key("i-1", None), "goodbye");
     assert_eq!(retired, second, "the present one is meant");
     assert_eq!(upstream.ready(now), None);
-    upstream.handle_heartbeat(&beat(second, 2), now);
+    upstream.handle_heartbeat(&heartbeat(second, 2), now);
     assert_eq!(upstream.ready(now), None);
-    upstream.handle_heartbeat(&beat(key("i-1", Some(SECOND + 1)), 1), now);
+    upstream.handle_heartbeat(&heartbeat(key("i-1", Some(SECOND + 1)), 1), now);
     assert!(upstream.ready(now).is_some(), "the next life has not left");
 }
--- a/crates/mesh/src/gate/silence.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -10,10 +10,10 @@
 use sailtrack_units::{KindName, Moment};
 
 use super::Gate;
-use super::entered::Entered;
+use super::admitted::Admitted;
 use super::exchange::{ExchangeError, UpstreamAnswer};
-use super::kinds::{Kind, Open};
-use super::patience::{Decision, Waiting};
+use super::kinds::{InFlight, Kind};
+use super::timeout::{Decision, Pending};
 use crate::clock::{self, LAST_LOOK, Late};
 use crate::contexts::Context;
 use crate::events::Silence;
@@ -21,10 +21,10 @@
 use crate::work::{Returned, Work};
 
 /// How long it is waited at most before it is looked again.
-const LONGEST_LOOK: Duration = Duration::from_secs(1);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// How long before the deadline the caller is told that no answer is expected, so that it hears
 /// of it before its own time is over.
-const TELL_AHEAD: Duration = Duration::from_millis(25);
+const REPLY_MARGIN: Duration = Duration::from_millis(25);
 
 /// What an exchange ends with, if it does in time.
 type Exchanged = Result<Result<UpstreamAnswer, ExchangeError>, Late>;
@@ -32,9 +32,9 @@
 /// What came of waiting.
 pub(super) enum Waited {
     /// The exchange or its time is over.
-    Over(Exchanged),
+    Finished(Exchanged),
     /// No answer is expected any more, and the connection is closed.
-    Silent,
+    GivenUp,
 }
 
 /// A request that is sent, and what is known of its kind.
@@ -42,60 +42,62 @@
     attempt: &'a AttemptKey,
     name: &'a KindName,
     kind: Rc<Kind>,
-    open: Open,
+    in_flight: InFlight,
     /// When it is sent.
     pub(super) at: Moment,
     deadline: Moment,
     /// It may be sent elsewhere after silence.
     is_repeatable: bool,
-    was_repeated: bool,
-    entered: &'a Entered,
+    is_retry: bool,
+    admitted: &'a Admitted,
 }
 
 impl Sent<'_> {
     /// Takes in the end of an exchange: what of its room is free.
-    pub(super) fn note_end(&self, end: &Waited, entered: &Entered) {
+    pub(super) fn record_end(&self, end: &Waited, admitted: &Admitted) {
         match end {
-            Waited::Silent => entered.stay.give_up(self.deadline),
+            Waited::GivenUp => admitted.slot.abandon(self.deadline),
             // A broken connection does not say that the upstream stopped.
-            Waited::Over(Ok(Err(error))) if error.may_go_on() => {}
+            Waited::Finished(Ok(Err(error))) if error.may_still_run() => {}
             // An upstream stops at the deadline that it was told.
-            Waited::Over(_) => entered.stay.end(),
+            Waited::Finished(_) => admitted.slot.finish(),
         }
-        if matches!(end, Waited::Silent | Waited::Over(Err(Late))) {
-            self.kind.note_silent(true, Instant::now());
+        if matches!(end, Waited::GivenUp | Waited::Finished(Err(Late))) {
+            self.kind.record_outcome(true, Instant::now());
         }
     }
 
     /// Takes in its answer.
-    pub(super) fn note_answer(&self, returned: &Returned, slowness: f64) {
+    pub(super) fn record_answer(&self, returned: &Returned, slowdown: f64) {
         if returned.is_success() {
-            self.open.note_answer(slowness, Instant::now());
-            self.kind.note_silent(false, Instant::now());
+            self.in_flight.record_answer(slowdown, Instant::now());
+            self.kind.record_outcome(false, Instant::now());
         }
     }
 }
 
 impl Gate {
     /// Notes that a request is sent now.
-    pub(super) fn begin_wait<'a>(&self, work: &'a Work, entered: &'a Entered) -> Sent<'a> {
+    pub(super) fn track<'a>(&self, work: &'a Work, admitted: &'a Admitted) -> Sent<'a> {
         let kind = self.kinds.get(&work.kind);
-        let usual = kind.usual();
-        let slowness = self.upstream.report.slowness();
+        let latency = kind.latency();
+        let slowdown = self.upstream.report.slowdown();
         let now = clock::now();
-        let done = usual.map(|usual| now + usual.longest.mul_f64(slowness));
-        let until = done.map_or(work.deadline, |done| done.min(work.deadline));
-        entered.stay.begin(now, until);
+        let expected_end = latency.map(|latency| now + latency.p99.mul_f64(slowdown));
+        let until = expected_end.map_or(work.deadline, |expected_end| {
+            expected_end.min(work.deadline)
+        });
+        admitted.slot.start(now, until);
         Sent {
             attempt: &work.attempt,
             name: &work.kind,
-            open: kind.begin(Instant::now()),
+            in_flight: kind.begin(Instant::now()),
             kind,
             at: now,
             deadline: work.deadline,
             is_repeatable: work.idempotent,
-            was_repeated: work.repeated,
-            entered,
+            is_retry: work.repeated,
+            admitted,
         }
     }
 
@@ -110,85 +112,87 @@
         exchange: impl Future<Output = Exchanged>,
     ) -> Waited {
         let exchange = std::pin::pin!(exchange);
-        let silence = std::pin::pin!(self.find_silence(sent, context));
-        match select(exchange, silence).await {
-            Either::Left((end, _)) => Waited::Over(end),
-            Either::Right(((), _)) if sent.is_repeatable => Waited::Silent,
+        let wait = std::pin::pin!(self.until_given_up(sent, context));
+        match select(exchange, wait).await {
+            Either::Left((end, _)) => Waited::Finished(end),
+            Either::Right(((), _)) if sent.is_repeatable => Waited::GivenUp,
             Either::Right(((), exchange)) => {
-                sent.entered.stay.give_up(sent.deadline);
-                sent.entered.is_silent.set(true);
-                Waited::Over(exchange.await)
+                sent.admitted.slot.abandon(sent.deadline);
+                sent.admitted.is_given_up.set(true);
+                Waited::Finished(exchange.await)
             }
         }
     }
 
     /// Waits until no answer to a request is expected any more.
-    async fn find_silence(&self, sent: &Sent<'_>, context: &Context) {
-        let mut is_second_look = false;
+    async fn until_given_up(&self, sent: &Sent<'_>, context: &Context) {
+        let mut is_recheck = false;
         loop {
-            let waiting = self.waiting(sent, context);
-            match waiting.decide() {
+            let pending = self.pending(sent, context);
+            match pending.decide() {
                 Decision::Wait(time) => {
-                    is_second_look = false;
-                    sleep(time.min(LONGEST_LOOK)).await;
+                    is_recheck = false;
+                    sleep(time.min(MAX_CHECK_INTERVAL)).await;
                 }
-                Decision::GiveUp if !is_second_look => {
-                    is_second_look = true;
+                Decision::GiveUp if !is_recheck => {
+                    is_recheck = true;
                     sleep(LAST_LOOK).await;
                 }
                 Decision::GiveUp => {
-                    self.note_silence(sent, &waiting);
+                    self.report_abandoned(sent, &pending);
                     return;
                 }
             }
         }
     }
 
-    fn waiting(&self, sent: &Sent<'_>, context: &Context) -> Waiting {
-        let left = if sent.is_repeatable {
+    fn pending(&self, sent: &Sent<'_>, context: &Context) -> Pending {
+        let remaining = if sent.is_repeatable {
             sent.deadline.since(clock::now())
         } else {
             Duration::MAX
         };
         let is_cold = self.upstream.is_cold(clock::now());
-        Waiting {
-            waited: sent.open.waited(Instant::now()),
-            left,
-            usual: sent.kind.usual(),
-            slowness: self.upstream.report.slowness(),
-            doubted: sent.open.doubted(),
-            overtaken: sent.open.overtaken(),
-            silent: sent.kind.silent(Instant::now()),
-            is_lenient: context.has_made_calls.get() || sent.was_repeated || is_cold,
+        Pending {
+            waited: sent.in_flight.waited(Instant::now()),
+            remaining,
+            latency: sent.kind.latency(),
+            slowdown: self.upstream.report.slowdown(),
+            last_abandoned: sent.in_flight.last_abandoned(),
+            overtaken: sent.in_flight.overtaken(),
+            unanswered_share: sent.kind.unanswered_share(Instant::now()),
+            is_lenient: context.has_made_calls.get() || sent.is_retry || is_cold,
         }
     }
 
-    fn note_silence(&self, sent: &Sent<'_>, waiting: &Waiting) {
-        if !waiting.is_passed_over() {
-            sent.open.note_doubt(Instant::now());
+    fn report_abandoned(&self, sent: &Sent<'_>, pending: &Pending) {
+        if !pending.is_overtaken() {
+            sent.in_flight.record_abandoned(Instant::now());
         }
         self.metrics.note_unanswered();
         self.events.note_silence(&Silence {
             attempt: sent.attempt,
             kind: sent.name,
-            waited: waiting.waited,
-            usual: waiting.usual.map_or(Duration::ZERO, |usual| usual.longest),
-            overtaken: waiting.overtaken,
+            waited: pending.waited,
+            usual: pending
+                .latency
+                .map_or(Duration::ZERO, |latency| latency.p99),
+            overtaken: pending.overtaken,
         });
     }
 }
 
 /// Waits for the end of a request that must not run twice, until shortly before its deadline if
 /// no answer to it is expected any more.
-pub(super) async fn until_told(
+pub(super) async fn await_result(
     deadline: Moment,
-    is_silent: &Cell<bool>,
+    is_given_up: &Cell<bool>,
     mut receiver: oneshot::Receiver<Returned>,
 ) -> Result<Returned, oneshot::Canceled> {
-    let told = clock::until(deadline.before(TELL_AHEAD), &mut receiver).await;
+    let told = clock::until(deadline.before(REPLY_MARGIN), &mut receiver).await;
     match told {
         Ok(returned) => returned,
-        Err(Late) if is_silent.get() => Ok(Returned::unknown(sailtrack_wire::Reason::Deadline)),
+        Err(Late) if is_given_up.get() => Ok(Returned::unknown(sailtrack_wire::Reason::Deadline)),
         Err(Late) => receiver.await,
     }
 }
