--- a/crates/mesh/src/gate/admitted.rs
+++ b/crates/mesh/src/gate/admitted.rs
@@ -1,4 +1,4 @@
-//! What a request holds while it is in the own upstream.
+//! Resources that a request holds while the local upstream executes it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,24 +12,24 @@
 use crate::key::UpstreamKey;
 use crate::work::Returned;
 
-/// What a request holds while it is in the own upstream.
+/// Resources that a request holds while the local upstream executes it.
 pub(super) struct Admitted {
     pub(super) upstream: UpstreamKey,
-    /// Tells that this life of the upstream has ended.
+    /// Resolves when this incarnation of the upstream has ended.
     pub(super) ended: Ended,
-    /// Its slot.
     pub(super) slot: Slot,
-    /// Its place among those of its kind, if a client made it.
+    /// Its place in the admission window of its kind, if it comes directly from a client.
     pub(super) outset: Option<OutsetPlace>,
-    /// Held if it may end the upstream.
+    /// Held if the request is a crash suspect on trial.
     #[allow(dead_code, reason = "it is held, not read")]
     pub(super) trial: Option<Guard>,
-    /// No answer to it is expected any more.
+    /// Whether the wait for a response was given up before the deadline.
     pub(super) is_given_up: Rc<Cell<bool>>,
 }
 
 impl Admitted {
-    /// Notes what the request met further down; `here` is how full its own upstream is.
+    /// Reports the pressure on the local upstream (`here`) and on the upstreams below it to the
+    /// admission window.
     pub(super) fn record_result(&self, returned: &Returned, here: Pressure) {
         if let Some(outset) = &self.outset {
             let met = Met {
--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -1,4 +1,4 @@
-//! Puts a gate together.
+//! Builder of the gate.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 }
 
 impl Builder {
-    /// Starts with the services that every gate needs.
+    /// Creates a builder with the required services.
     pub(crate) fn new(
         service: ServiceName,
         target: SocketAddr,
@@ -65,20 +65,20 @@
         Self { gate }
     }
 
-    /// Sets the count of what the node works on.
+    /// Sets the counter of requests that are in flight on this node.
     pub(crate) fn in_flight(mut self, in_flight: Rc<Cell<usize>>) -> Self {
         self.gate.in_flight = in_flight;
         self
     }
 
-    /// Sets who may enter the upstream.
+    /// Sets the admission control of the local upstream.
     pub(crate) fn admission(mut self, admission: Rc<Admission>, windows: Rc<Windows>) -> Self {
         self.gate.admission = admission;
         self.gate.outset = Outset::new(windows);
         self
     }
 
-    /// Sets what is remembered about requests.
+    /// Sets the tables of running requests and of execution records.
     pub(crate) fn memory(mut self, contexts: Rc<Contexts>, records: Rc<Records>) -> Self {
         self.gate.contexts = contexts;
         self.gate.records = records;
--- a/crates/mesh/src/gate/crash.rs
+++ b/crates/mesh/src/gate/crash.rs
@@ -1,9 +1,11 @@
-//! Tells a crash of the own upstream from everything else that breaks connections to it.
+//! Distinguishes a crash of the local upstream from other causes of broken
+//! connections.
 //!
-//! An upstream that crashed refuses connections, or another life of it
-//! announces itself, also where something else holds its port and closes what
-//! comes. One that leaves has said so before; one that resets its
-//! connections, turns wrong bytes out or is slow accepts a new one.
+//! After a crash, the port refuses connections, or a new incarnation announces
+//! itself; the latter also covers a port that another process holds, which
+//! accepts connections and closes them. An upstream that shuts down normally
+//! has announced that. One that merely resets connections, sends malformed
+//! responses or is slow still accepts new connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,16 +21,17 @@
 use crate::contexts::Context;
 use crate::key::UpstreamKey;
 
-/// Finds out whether the own upstream has crashed.
+/// Detects crashes of the local upstream.
 pub(super) struct Detector {
     target: SocketAddr,
-    /// The connection that is being tried; all losses of the same moment wait for one.
+    /// The probe in progress; all connections lost at the same moment share it.
     probe: RefCell<Option<Shared<LocalBoxFuture<'static, Finding>>>>,
-    /// The port is watched; that serves all losses meanwhile.
+    /// Held while the port is watched; one watch serves all connections lost meanwhile.
     watch: Lock,
-    /// The last life that crashed.
+    /// The last incarnation that crashed.
     last_crashed: RefCell<Option<Rc<UpstreamKey>>>,
-    /// What ran when connections of the present life broke, although its port took new ones.
+    /// The requests that ran when connections of the current incarnation broke although its port
+    /// accepted new ones.
     suspicion: RefCell<Option<Suspicion>>,
 }
 
@@ -43,12 +46,12 @@
         }
     }
 
-    /// Returns true if this life is known to have crashed.
+    /// Returns true if this incarnation is known to have crashed.
     pub(super) fn is_known_crash(&self, upstream: &UpstreamKey) -> bool {
         self.last_crashed.borrow().as_deref() == Some(upstream)
     }
 
-    /// Notes that a life crashed; returns false if that was known.
+    /// Records the crash of an incarnation; returns false if it was known already.
     pub(super) fn record_crash(&self, upstream: &UpstreamKey) -> bool {
         if self.is_known_crash(upstream) {
             return false;
@@ -57,7 +60,7 @@
         true
     }
 
-    /// Notes what ran when a connection broke whose upstream still takes new ones.
+    /// Records which requests ran when a connection broke although the upstream accepts new ones.
     pub(super) fn suspect(&self, upstream: &UpstreamKey, ran: &[Rc<Context>], now: Moment) {
         let suspicion = self
             .take_suspicion(now)
@@ -67,14 +70,14 @@
         self.suspicion.replace(Some(suspicion));
     }
 
-    /// Returns what is doubted, which is not doubted any more.
+    /// Takes the suspicion out, if it has not expired.
     pub(super) fn take_suspicion(&self, now: Moment) -> Option<Suspicion> {
         self.suspicion
             .take()
             .filter(|suspicion| suspicion.is_current(now))
     }
 
-    /// Returns the life that is doubted.
+    /// Returns the incarnation that is suspected of having crashed.
     pub(super) fn suspected(&self, now: Moment) -> Option<UpstreamKey> {
         let suspicion = self.suspicion.borrow();
         let suspicion = suspicion
@@ -83,14 +86,14 @@
         suspicion.map(|suspicion| suspicion.upstream().clone())
     }
 
-    /// Takes in that a life answered a request that was sent to it at this moment.
+    /// Drops the suspicion if the incarnation answered a request that was sent after the loss.
     pub(super) fn record_answer(&self, upstream: &UpstreamKey, sent: Moment) {
         self.suspicion
             .borrow_mut()
             .take_if(|suspicion| suspicion.is_about(upstream) && suspicion.is_refuted_by(sent));
     }
 
-    /// Tries a connection to the upstream.
+    /// Probes the port of the upstream, joining a probe that is in progress.
     pub(super) async fn probe_port(&self) -> Finding {
         let known = self.probe.borrow().clone();
         let probe = match known {
@@ -100,7 +103,7 @@
         probe.await
     }
 
-    /// Begins to watch the port, unless that is done already.
+    /// Starts watching the port, or returns `None` if it is being watched.
     pub(super) fn begin_watch(&self) -> Option<Guard> {
         self.watch.try_acquire()
     }
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to the own upstream and its answer.
+//! One request to the local upstream and its response.
 
 #[cfg(test)]
 mod tests;
@@ -22,24 +22,24 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::work::Work;
 
-/// The most bytes of an answer's head.
+/// The maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// A longer body is passed on while it is read. Up to here an answer that breaks off can be
-/// repeated or refused, beyond it a hundred answers at once still fit into 13 MB.
+/// Longer bodies are streamed. A response that breaks off within this limit can be retried or
+/// refused; beyond it, a hundred concurrent responses still fit into 13 MB.
 const MAX_BUFFERED_BYTES: usize = 128 * 1024;
-/// How long an upstream may pause within a streamed body.
+/// The maximum pause of an upstream within a streamed body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// The most bytes of the body of an answer that is passed over.
+/// The maximum body size of a stale response, which is read and discarded.
 const MAX_STALE_BODY_BYTES: usize = 1024 * 1024;
-/// The most answers to other requests that are passed over before the awaited one.
+/// The maximum number of responses to other requests that are skipped before the expected one.
 const MAX_STALE_ANSWERS: u32 = 3;
 
-/// Why an exchange gave no answer that can be passed on.
+/// Why an exchange produced no response that can be forwarded.
 #[derive(Debug, Display)]
 pub(super) enum ExchangeError {
-    /// no connection, nothing was sent: {0}
+    /// the connection failed, nothing was sent: {0}
     Connect(DialError),
-    /// its time was over before it was sent
+    /// the deadline passed before the request was sent
     Late,
     /// the connection was lost: {0}
     Io(std::io::Error),
@@ -49,18 +49,18 @@
     Body(BodyError),
     /// {0}
     Head(HeadError),
-    /// the answer does not bear the signature of the upstream
+    /// the answer lacks the signature field of the upstream
     Unsigned,
-    /// the answer is in a coding that was not asked for
+    /// the answer has a content encoding that was not requested
     Encoded,
     /// the answer belongs to another request
     Mismatched,
-    /// the upstream was started again and knows nothing of the request
+    /// the upstream was restarted and has no knowledge of the request
     Restarted,
 }
 
 impl ExchangeError {
-    /// Returns true if the connection broke before the answer was whole.
+    /// Returns true if the connection broke before the response was complete.
     pub(super) fn is_broken(&self) -> bool {
         match self {
             Self::Io(_) => true,
@@ -82,19 +82,19 @@
         }
     }
 
-    /// Returns true if the upstream cannot have seen the request.
+    /// Returns true if the upstream cannot have received the request.
     pub(super) fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_) | Self::Late)
     }
 }
 
-/// An answer of the upstream.
+/// A response of the upstream.
 pub(super) struct UpstreamAnswer {
     pub(super) head: ResponseHead,
     pub(super) body: Body,
 }
 
-/// The rest of a long body on the connection to the upstream.
+/// The remainder of a streamed body on the connection to the upstream.
 struct UpstreamSource {
     connection: Connection,
     first_piece: Option<Bytes>,
@@ -117,7 +117,8 @@
     }
 }
 
-/// Sends a request to this life of the upstream and returns its answer, a long body as a stream.
+/// Sends a request to an incarnation of the upstream and returns the response, with a long body as
+/// a stream.
 ///
 /// Dropping the future or the stream closes the connection, which tells the upstream to stop.
 pub(super) async fn exchange(
@@ -128,7 +129,8 @@
 ) -> Result<UpstreamAnswer, ExchangeError> {
     let taken = pool.acquire(!work.idempotent).await;
     let mut connection = taken.map_err(ExchangeError::Connect)?;
-    // The node may have stood still meanwhile, and its caller may have been told.
+    // The node may have been suspended since the request was admitted, and the caller may have been
+    // told that its time is over.
     if work.time_left().is_zero() {
         return Err(ExchangeError::Late);
     }
@@ -169,8 +171,8 @@
     Ok(UpstreamAnswer { head, body })
 }
 
-/// Sends a request and returns the first head that comes back, and whether all of the request was
-/// written by then: an upstream may answer and close before it has read a whole request.
+/// Sends a request and returns the first response head, and whether the request was completely
+/// written by then: an upstream may respond and close before it has read a whole request.
 async fn send(
     connection: &mut Connection,
     request: BytesMut,
@@ -191,7 +193,7 @@
     Ok((head.map_err(ExchangeError::Message)?, was_sent))
 }
 
-/// Reads a body to its end, or as far as it is held in memory.
+/// Reads a body to its end, or up to the limit for buffered bodies.
 async fn read_prefix(
     connection: &mut Connection,
     rest: &mut BodyRest,
@@ -224,17 +226,17 @@
     bytes
 }
 
-/// The head of the awaited answer; its body has not been read.
+/// The head of the expected response; its body has not been read.
 struct MatchedHead {
     head: ResponseHead,
     framing: Framing,
     rest: BodyRest,
 }
 
-/// Passes over answers until the one to the request with this id.
+/// Skips stale responses until the one to this request.
 ///
-/// An upstream may answer an earlier request twice; the second answer then
-/// stands before the one that is awaited.
+/// An upstream may answer an earlier request twice; the second response then precedes the expected
+/// one on the connection.
 async fn read_matching_head(
     connection: &mut Connection,
     fields: &FieldNames,
@@ -270,9 +272,9 @@
     Err(ExchangeError::Mismatched)
 }
 
-/// Returns true if the answer is the one to the request with this id.
+/// Returns true if the response belongs to the request with this id.
 ///
-/// Only a refusal may come without an id; answers that come late or twice bear theirs.
+/// Only a refusal may lack the id; late and duplicate responses always carry it.
 fn belongs_to(head: &ResponseHead, fields: &FieldNames, attempt: &AttemptKey) -> bool {
     match head.fields.get(fields.attempt) {
         Some(id) => id == attempt.as_str(),
@@ -280,7 +282,8 @@
     }
 }
 
-/// Checks that a success really is the upstream's own body.
+/// Checks that a successful response was produced by the upstream itself and that its body is not
+/// encoded.
 fn verify(head: &ResponseHead, fields: &FieldNames) -> Result<(), ExchangeError> {
     if !(200..300).contains(&head.status) {
         return Ok(());
--- a/crates/mesh/src/gate/kinds.rs
+++ b/crates/mesh/src/gate/kinds.rs
@@ -1,4 +1,5 @@
-//! How long each kind of request takes at the own upstream, and which are open.
+//! Latency and in-flight requests of each kind of request on the local
+//! upstream.
 
 #[cfg(test)]
 mod tests;
@@ -13,32 +14,31 @@
 
 use super::timeout::Latency;
 
-/// From so many answers on it is known how long a kind takes.
+/// The samples that are required before latency percentiles are used.
 const MIN_SAMPLES: u64 = 20;
-/// After this time newer answers begin to replace older ones.
+/// The age at which a histogram is replaced by a new one.
 const WINDOW: Duration = Duration::from_secs(10);
-/// The most kinds that are kept: a service has some few, and routes come and go.
+/// The maximum number of kinds: a service has only a few, but routes come and go.
 const MAX_KINDS: usize = 128;
-/// In what times are counted.
+/// The unit of the histograms.
 const RESOLUTION: Duration = Duration::from_micros(100);
-/// The longest time that is told from longer ones, in units: a minute.
+/// The highest latency that a histogram distinguishes, in units: one minute.
 const MAX_UNITS: u64 = 600_000;
-/// The digits to which times are kept; one is a step of some percent, and half a kilobyte.
+/// The precision of a histogram: one digit gives steps of a few percent and takes half a kilobyte.
 const SIGNIFICANT_DIGITS: u8 = 1;
-/// What late and longest usual times leave out.
 const P95: f64 = 95.0;
 const P99: f64 = 99.0;
-/// The weight of the newest end in the share of requests without an answer.
+/// The weight of the newest outcome in the moving average of unanswered requests.
 const SMOOTHING: f64 = 0.1;
-/// After this time without news half of that share counts.
+/// The half-life of that average while no outcome is recorded.
 const UNANSWERED_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// The kinds of requests that came to the own upstream.
+/// Statistics of each kind of request to the local upstream.
 #[derive(Default)]
 pub(super) struct Kinds(RefCell<HashMap<KindName, Rc<Kind>>>);
 
 impl Kinds {
-    /// Returns what is known of a kind.
+    /// Returns the statistics of a kind, creating them if there are none.
     pub(super) fn get(&self, name: &KindName) -> Rc<Kind> {
         let mut kinds = self.0.borrow_mut();
         if let Some(kind) = kinds.get(name) {
@@ -51,21 +51,21 @@
     }
 }
 
-/// Times of one kind, of two generations.
+/// Latency histograms of one kind, for the current and the previous window.
 struct Latencies {
     current: Option<Histogram<u16>>,
     previous: Option<Histogram<u16>>,
     since: Option<Instant>,
 }
 
-/// One kind of request.
+/// Statistics of one kind of request.
 #[derive(Default)]
 pub(super) struct Kind {
     latencies: RefCell<Latencies>,
     in_flight: RefCell<Vec<Rc<Cell<u32>>>>,
-    /// For how long one was waited for in vain, and when it was given up.
+    /// How long the last abandoned request waited, and when it was given up.
     abandoned: Cell<Option<(Duration, Instant)>>,
-    /// The share that was not answered, and when that was last seen.
+    /// The moving average of unanswered requests, and when it was last updated.
     unanswered: Cell<Option<(f64, Instant)>>,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// The bounds are sound, so there always is one.
+/// Creates a histogram; the constant bounds are valid, so this always succeeds.
 fn new_histogram() -> Option<Histogram<u16>> {
     Histogram::new_with_max(MAX_UNITS, SIGNIFICANT_DIGITS).ok()
 }
@@ -130,7 +130,7 @@
 }
 
 impl Kind {
-    /// Begins a request of this kind.
+    /// Starts tracking a request of this kind.
     pub(super) fn begin(self: &Rc<Self>, now: Instant) -> InFlight {
         let overtaken = Rc::<Cell<u32>>::default();
         self.in_flight.borrow_mut().push(Rc::clone(&overtaken));
@@ -142,12 +142,12 @@
         }
     }
 
-    /// Returns how long it takes when nothing slows it down, if that is known.
+    /// Returns the latency without slowdown, if there are enough samples.
     pub(super) fn latency(&self) -> Option<Latency> {
         self.latencies.borrow().latency()
     }
 
-    /// Returns the share that was not answered lately.
+    /// Returns the recent fraction of unanswered requests.
     pub(super) fn unanswered_share(&self, now: Instant) -> f64 {
         let Some((share, seen)) = self.unanswered.get() else {
             return 0.0;
@@ -156,7 +156,7 @@
         share * 0.5_f64.powf(age / UNANSWERED_HALF_LIFE.as_secs_f64())
     }
 
-    /// Notes that one was answered, or that its time is over without an answer.
+    /// Records whether a request was answered in time.
     pub(super) fn record_outcome(&self, is_unanswered: bool, now: Instant) {
         let before = self.unanswered_share(now);
         let newest = f64::from(u8::from(is_unanswered));
@@ -164,7 +164,8 @@
         self.unanswered.set(Some((share, now)));
     }
 
-    /// Returns for how long one was waited for in vain lately, if none has been quick since.
+    /// Returns how long the last abandoned request waited, or zero if that is long ago or a fast
+    /// response has come since.
     fn last_abandoned(&self, now: Instant) -> Duration {
         let is_young =
             |(_, since): &(Duration, Instant)| now.saturating_duration_since(*since) < WINDOW;
@@ -173,13 +174,13 @@
     }
 }
 
-/// A request that has been sent and not answered.
+/// A request that has been sent and not answered yet.
 pub(super) struct InFlight {
     kind: Rc<Kind>,
     /// How many requests of the kind that were sent later have been answered.
     overtaken: Rc<Cell<u32>>,
     at: Instant,
-    /// For how long one was waited for in vain before.
+    /// How long an earlier request had waited before it was given up.
     last_abandoned: Duration,
 }
 
@@ -189,18 +190,18 @@
         self.overtaken.get()
     }
 
-    /// Returns for how long one was waited for in vain before it was sent, if none had been quick
-    /// since.
+    /// Returns how long an earlier request had waited before it was given up, or zero if a fast
+    /// response had come before this request was sent.
     pub(super) fn last_abandoned(&self) -> Duration {
         self.last_abandoned
     }
 
-    /// Returns how long ago it was sent.
+    /// Returns the time since it was sent.
     pub(super) fn waited(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.at)
     }
 
-    /// Notes its answer, where work takes `slowness` times as long as usual.
+    /// Records its response; `slowdown` is the factor by which work takes longer than usual.
     pub(super) fn record_answer(&self, slowdown: f64, now: Instant) {
         self.overtake_earlier();
         let time = self.waited(now).div_f64(slowdown.max(1.0));
@@ -213,12 +214,12 @@
         self.kind.latencies.borrow_mut().record(time, now);
     }
 
-    /// Notes that it was given up although none passed it: the upstream may have become slow.
+    /// Records that it was given up although none overtook it: the upstream may have become slow.
     pub(super) fn record_abandoned(&self, now: Instant) {
         self.kind.abandoned.set(Some((self.waited(now), now)));
     }
 
-    /// It passed all that were sent earlier and are still open.
+    /// Counts this response for all requests that were sent earlier and are still unanswered.
     fn overtake_earlier(&self) {
         let in_flight = self.kind.in_flight.borrow();
         let earlier = in_flight
--- a/crates/mesh/src/gate/lock.rs
+++ b/crates/mesh/src/gate/lock.rs
@@ -1,18 +1,18 @@
-//! What may go on once at a time.
+//! A try-lock for activities that must not run concurrently.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Something that may go on once at a time, and whether it does.
+/// A lock that can be tried but not waited for.
 #[derive(Debug, Default)]
 pub(super) struct Lock(Rc<Cell<bool>>);
 
-/// Held for as long as it goes on.
+/// Releases the lock when dropped.
 #[derive(Debug)]
 pub(super) struct Guard(Rc<Cell<bool>>);
 
 impl Lock {
-    /// Begins it unless it goes on already.
+    /// Acquires the lock, or returns `None` if it is held.
     pub(super) fn try_acquire(&self) -> Option<Guard> {
         let is_free = !self.0.replace(true);
         is_free.then(|| Guard(Rc::clone(&self.0)))
--- a/crates/mesh/src/gate/loss.rs
+++ b/crates/mesh/src/gate/loss.rs
@@ -1,4 +1,4 @@
-//! Tells whether the own upstream ended when an answer of it was lost.
+//! Decides after a lost response whether the local upstream has crashed.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -14,9 +14,10 @@
 use crate::key::{AttemptKey, UpstreamKey};
 
 impl Gate {
-    /// Returns true if a life of the upstream has ended without having announced it.
+    /// Returns true if an incarnation of the upstream has ended without announcing it.
     ///
-    /// What else it ran has no answer yet, or was lost just before.
+    /// The crash suspects are all requests that are in flight there, and those whose connections
+    /// broke just before.
     pub(super) async fn has_crashed(
         self: &Rc<Self>,
         upstream: &UpstreamKey,
@@ -42,7 +43,7 @@
         false
     }
 
-    /// Returns true if nothing listens any more where an answer was lost.
+    /// Returns true if the port refuses connections after a response was lost.
     async fn is_port_closed(&self, attempt: &AttemptKey) -> bool {
         let began = Instant::now();
         let finding = self.detector.probe_port().await;
@@ -50,7 +51,8 @@
         finding == Finding::Refused
     }
 
-    /// Takes in that a life of the upstream ended; returns false if it had said that it would.
+    /// Handles the crash of an incarnation of the upstream; returns false if it had announced that
+    /// it would leave.
     pub(super) fn handle_crash(&self, upstream: &UpstreamKey) -> bool {
         if self.upstream.has_left(upstream) {
             return false;
@@ -65,8 +67,8 @@
         true
     }
 
-    /// Returns what ran when a life of the upstream ended: what has no answer yet, and what was
-    /// lost before the end was seen.
+    /// Returns the requests that ran when an incarnation of the upstream ended: those in flight,
+    /// and those that were lost before the crash was detected.
     fn in_flight_at_crash(&self, upstream: &UpstreamKey) -> Vec<Rc<Context>> {
         let mut ran = self.contexts.running_in(upstream);
         let suspicion = self.detector.take_suspicion(clock::now());
@@ -76,8 +78,8 @@
         ran
     }
 
-    /// Watches the port of an upstream that broke a connection until it is known whether that was
-    /// a crash, without holding up the request that was lost.
+    /// Watches the port in the background after a connection broke, until it is known whether that
+    /// was a crash. The lost request does not wait for it.
     fn watch(self: &Rc<Self>, guard: Guard, attempt: AttemptKey) {
         let gate = Rc::clone(self);
         task::spawn("watch of the port", async move {
@@ -86,7 +88,7 @@
             let finding = port::watch(gate.detector.target(), || suspected().is_some()).await;
             drop(guard);
             gate.events.note_look(&attempt, finding, began.elapsed());
-            // It may be a later life than the one whose loss began the watch.
+            // The suspected incarnation may be a later one than that which started the watch.
             if let Some(upstream) = suspected().filter(|_| finding == Finding::Refused) {
                 gate.handle_crash(&upstream);
             }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -1,8 +1,9 @@
-//! The only way to the own upstream.
+//! The single access point to the local upstream.
 //!
-//! Nothing else reaches the upstream, so what must hold for it is decided
-//! here without agreement: which life of it gets requests, how many at once,
-//! in which order, and that none runs twice that must not.
+//! All requests to the local upstream pass through this module, so its
+//! guarantees need no agreement between nodes: which incarnation of the
+//! upstream gets requests, how many run concurrently, in which order they are
+//! admitted, and that a non-idempotent request runs at most once.
 
 mod admitted;
 mod builder;
@@ -58,11 +59,11 @@
 pub(crate) use upstream::Upstream;
 use wait::await_result;
 
-/// How much longer than its deadline the answer to a request that must not run twice is awaited:
-/// the upstream stops at the deadline and says so.
+/// How long after its deadline a non-idempotent request still waits for its response: the upstream
+/// stops work at the deadline and then reports that.
 const ANSWER_GRACE: Duration = Duration::from_millis(250);
 
-/// The only way to the own upstream.
+/// Admits requests to the local upstream and executes them there.
 pub(crate) struct Gate {
     dialect: Rc<dyn Dialect>,
     service: ServiceName,
@@ -73,7 +74,7 @@
     records: Rc<Records>,
     events: Rc<Events>,
     metrics: Rc<Metrics>,
-    /// The longest time that any request may take.
+    /// The longest timeout of any request.
     max_request_time: Cell<Duration>,
     kinds: Kinds,
     slots: Rc<Slots>,
@@ -81,7 +82,7 @@
     detector: Detector,
     quarantine: Rc<Quarantine>,
     wake: Rc<Wake>,
-    /// A request that may end the upstream runs there alone among such requests.
+    /// Held by the one crash suspect that may run at a time, since it might crash the upstream.
     trials: Lock,
     in_flight: Rc<Cell<usize>>,
 }
@@ -91,15 +92,16 @@
 }
 
 impl Gate {
-    /// Returns how full the own upstream is for requests that matter as much as this one, as far
-    /// as it is shared with those who call it from further up.
+    /// Returns the pressure on the local upstream for the request's class, as far as it is shared
+    /// with callers further up the call chain.
     fn shared_pressure(&self, work: &Work) -> Pressure {
         self.admission.shared_pressure(Instant::now(), work.class)
     }
 
-    /// Brings a request to the own upstream and returns what became of it.
+    /// Executes a request on the local upstream and returns the result.
     ///
-    /// Dropping the future stops a request that may run again, and one that was not sent yet.
+    /// Dropping the future cancels an idempotent request, and any request that has not been sent
+    /// yet.
     pub(crate) async fn run(self: &Rc<Self>, work: Work) -> Returned {
         let held = Held::new(&self.in_flight);
         let (attempt, kind) = (work.attempt.clone(), work.kind.clone());
@@ -126,7 +128,7 @@
             return self.refuse(&work, Reason::Draining);
         }
         self.wake.news().await;
-        // Its sender may not know yet what this node knows.
+        // The sending node may not have received the evidence that this node has.
         if self.quarantine.standing(&work.identity).is_quarantined() {
             return self.refuse(&work, Reason::Quarantined);
         }
@@ -155,7 +157,8 @@
         }
     }
 
-    /// Waits for a slot of the own upstream, and looks again at what may have changed meanwhile.
+    /// Waits for a concurrency slot of the local upstream, then repeats the checks whose result may
+    /// have changed during the wait.
     async fn acquire_slot(
         &self,
         work: &mut Work,
@@ -182,8 +185,8 @@
         })
     }
 
-    /// Lets a request in by what is held against it at this moment: it may have waited, and its
-    /// sender may know less.
+    /// Checks the quarantine state again, since it may have changed while the request waited and
+    /// the sending node may know less.
     fn begin_trial(&self, work: &mut Work) -> Result<Option<Guard>, Reason> {
         let standing = self.quarantine.standing(&work.identity);
         work.known_crashes = work.known_crashes.max(standing.known());
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Runs a request that may run again, for as long as somebody waits for it.
+    /// Executes an idempotent request, which is cancelled when the caller stops waiting.
     async fn run_idempotent(self: &Rc<Self>, work: &Work, admitted: Admitted) -> Returned {
         let mut returned = self.send(work, &admitted, work.deadline).await;
         admitted.record_result(&returned, self.shared_pressure(work));
@@ -205,7 +208,7 @@
         returned
     }
 
-    /// Runs a request that must not run twice to its end, whoever still waits for it.
+    /// Executes a non-idempotent request to completion, even if the caller stops waiting.
     async fn run_once(self: &Rc<Self>, work: Work, admitted: Admitted, entry: Entry) -> Returned {
         if !entry.start() {
             return self.refuse(&work, Reason::TicketClosed);
@@ -221,25 +224,28 @@
             entry.finish(&returned, Instant::now());
             admitted.record_result(&returned, gate.shared_pressure(&work));
             returned.body.hold((admitted, held));
-            // The caller may have left; the record has the answer.
+            // The caller may have gone away; the execution record keeps the response.
             let _ = sender.send(returned);
         });
         let returned = await_result(deadline, &is_given_up, receiver).await;
         returned.unwrap_or_else(|_| Returned::unknown(Reason::Cancelled))
     }
 
-    /// Takes in how many connections the own upstream accepts.
+    /// Sets the maximum number of connections that the local upstream accepts.
     pub(crate) fn limit_connections(&self, connections: usize) {
         self.pool.limit_idle(connections);
     }
 
-    /// Takes in the longest time that any request may take.
+    /// Sets the longest timeout of any request.
     pub(crate) fn limit_request_time(&self, time: Duration) {
         self.max_request_time.set(time);
     }
 
-    /// Takes in that another life of the upstream begins: unused connections lead to an earlier
-    /// one, and what broke its connections just before may have ended it.
+    /// Handles the start of a new incarnation of the upstream.
+    ///
+    /// Idle connections belong to the previous incarnation and are closed. If that one was
+    /// suspected of a crash after broken connections and was replaced without a farewell, the crash
+    /// is now confirmed.
     pub(crate) fn handle_new_incarnation(&self) {
         self.pool.clear();
         self.slots.release_all();
@@ -250,7 +256,8 @@
         }
     }
 
-    /// Keeps the room of what an earlier process of this node left in the upstream.
+    /// Reserves slots for requests of an earlier process of this node that still run in the
+    /// upstream.
     fn reserve_leftovers(&self) {
         let Some((load, at)) = self.upstream.take_initial_load() else {
             return;
@@ -264,7 +271,7 @@
         }
     }
 
-    /// Returns what became of a request whose caller lost the answer.
+    /// Returns the result of a request whose caller lost the response.
     pub(crate) async fn recall(&self, attempt: &AttemptKey) -> Returned {
         match self.records.recall(attempt, Instant::now()) {
             Recalled::Ended(returned) => returned,
@@ -275,7 +282,7 @@
         }
     }
 
-    /// Returns the life of the upstream that may run the request.
+    /// Returns the incarnation of the upstream that may execute the request.
     fn ready_upstream(&self, work: &Work, now: Instant) -> Option<UpstreamKey> {
         if work.service != self.service {
             return None;
@@ -283,7 +290,7 @@
         self.upstream.ready(now)
     }
 
-    /// Returns the place of a client's request among those of its kind.
+    /// Registers a request that comes directly from a client with the admission window of its kind.
     fn enter_group(&self, work: &Work, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
         if work.begun {
             return Ok(None);
--- a/crates/mesh/src/gate/pool.rs
+++ b/crates/mesh/src/gate/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the own upstream.
+//! Connection pool of the local upstream.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 
 use crate::clock;
 
-/// How long a connection may take to be accepted by an upstream on the same instance.
+/// How long an upstream on the same instance may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an unused connection is kept if the upstream does not say.
+/// The idle timeout if the upstream announces none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The part of the time that an upstream states in which its connections are reused; a request
-/// on a connection that closes at that moment would be lost.
+/// The fraction of an announced idle timeout in which a connection is reused; a request that is
+/// sent just as the upstream closes the connection would be lost.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
-/// How long ago a connection may have been used for a request that must not run twice: a new one
-/// costs an upstream a millisecond, a lost request cannot be mended.
+/// The maximum idle time of a connection for a non-idempotent request: a new connection costs the
+/// upstream a millisecond, but a lost request can't be retried.
 const MAX_FRESH_AGE: Duration = Duration::from_secs(1);
-/// The most unused connections that are kept, whatever the upstream accepts.
+/// The maximum number of idle connections, whatever the upstream accepts.
 const MAX_IDLE: usize = 256;
-/// The part of the connections that an upstream accepts which may stand unused.
+/// One in this many of the connections that an upstream accepts may be idle.
 const IDLE_DIVISOR: usize = 4;
 
-/// One connection to the upstream.
+/// A connection to the upstream.
 pub(super) struct Connection {
     pub(super) reader: Reader,
     pub(super) writer: OwnedWriteHalf<TcpStream>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Connections to the own upstream.
+/// Idle connections to the local upstream.
 pub(super) struct Pool {
     target: SocketAddr,
     idle: RefCell<Vec<Connection>>,
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Returns an unused connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
-    /// An upstream may forget a connection sooner than it says, and what is sent on it then is
-    /// lost. A request that may run again is sent again; `only_fresh` is for the others.
+    /// An upstream may close a connection earlier than announced, and a request sent at that moment
+    /// is lost. Idempotent requests are then retried; `only_fresh` is for all others.
     pub(super) async fn acquire(&self, only_fresh: bool) -> Result<Connection, DialError> {
         let now = clock::now();
         loop {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes the connection that was used last, if it is fresh enough.
+    /// Takes the most recently used connection, if it is fresh enough.
     fn pop(&self, now: Moment, only_fresh: bool) -> Option<Connection> {
         let is_wanted = |connection: &mut Connection| {
             !only_fresh || now.since(connection.last_used) < MAX_FRESH_AGE
@@ -82,7 +82,7 @@
         self.idle.borrow_mut().pop_if(is_wanted)
     }
 
-    /// Keeps a connection whose exchange ended well, if its last answer allows it.
+    /// Returns a connection to the pool after a successful exchange, if the response permits reuse.
     pub(super) fn release(&self, mut connection: Connection, head: &ResponseHead) {
         if !head.keeps_alive() || connection.reader.buffered() > 0 {
             return;
@@ -97,14 +97,14 @@
         }
     }
 
-    /// Keeps fewer unused connections than an upstream accepts in all.
+    /// Limits the idle connections to a fraction of those that the upstream accepts.
     pub(super) fn limit_idle(&self, connections: usize) {
         let max_idle = (connections / IDLE_DIVISOR).clamp(1, MAX_IDLE);
         self.max_idle.set(max_idle);
         self.idle.borrow_mut().truncate(max_idle);
     }
 
-    /// Closes all unused connections, as the upstream behind the address has changed.
+    /// Closes all idle connections, as there is another upstream at the address.
     pub(super) fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
@@ -121,7 +121,7 @@
     }
 }
 
-/// Returns for how long the upstream says that it keeps an unused connection.
+/// Returns the idle timeout that the upstream announces in its `Keep-Alive` field.
 fn announced_idle_timeout(head: &ResponseHead) -> Option<Duration> {
     let value = head.fields.get("keep-alive")?;
     let mut parameters = value.split(',').filter_map(|part| part.split_once('='));
--- a/crates/mesh/src/gate/port.rs
+++ b/crates/mesh/src/gate/port.rs
@@ -1,4 +1,4 @@
-//! What connections to the port of the own upstream show.
+//! Liveness probes of the local upstream's port.
 
 #[cfg(test)]
 mod tests;
@@ -12,17 +12,17 @@
 use sailtrack_net::dial::{DialError, Dialed, dial};
 
 /// How long an upstream on the same instance may take to accept or refuse a connection. One with a
-/// full queue of new connections does neither; it lives.
+/// full accept queue does neither, but it is alive.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// The first pause before a port that was open is tried again. The connections of a process that
-/// ends are closed one after the other, its port may be among the last.
+/// The initial backoff after a probe found the port open. A process that exits closes its
+/// connections one after the other, and its listening socket may be among the last.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
-/// The longest pause: something may hold the port and close what comes.
+/// The maximum backoff: another process may hold the port and close what it accepts.
 const MAX_BACKOFF: Duration = Duration::from_millis(300);
-/// How often it is asked whether an open connection is still wanted.
+/// How often to check whether the result of an open probe is still wanted.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a connection that is tried shows of the own upstream.
+/// The result of a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum Finding {
     /// refused
@@ -36,8 +36,8 @@
 }
 
 impl Finding {
-    /// Returns what a connection shows that could not be opened. Only a refusal tells of the other
-    /// side: this one may lack descriptors or addresses.
+    /// Classifies a failed connection. Only a refusal says something about the upstream; this node
+    /// may lack file descriptors or local addresses.
     fn of(error: &DialError) -> Self {
         match error {
             DialError::Timeout => Self::Unanswered,
@@ -50,16 +50,16 @@
     }
 }
 
-/// Tries a connection.
+/// Probes the port once.
 pub(super) async fn probe(target: SocketAddr) -> Finding {
     probe_until_closed(target, || false).await
 }
 
-/// Tries connections until one is refused or the answer is not wanted any more; returns what the
-/// last one showed.
+/// Probes the port until it refuses a connection or the result is no longer wanted; returns the
+/// last result.
 ///
-/// One that is accepted is kept open: whoever holds the port of an upstream that has ended closes
-/// it at once, or when it lets go of the port.
+/// An accepted connection is kept open: if the upstream has ended, whoever holds its port closes
+/// the connection at once or when it releases the port.
 pub(super) async fn watch(target: SocketAddr, is_wanted: impl Fn() -> bool) -> Finding {
     let mut backoff = INITIAL_BACKOFF;
     let mut last = Finding::Untried;
@@ -81,7 +81,8 @@
     }
 }
 
-/// Tries a connection, and keeps it until the other side closes it or it is not wanted any more.
+/// Probes the port, and keeps an accepted connection until the peer closes it or the result is no
+/// longer wanted.
 async fn probe_until_closed(target: SocketAddr, is_wanted: impl Fn() -> bool) -> Finding {
     match dial(target, None, PROBE_TIMEOUT).await {
         Ok(dialed) => {
@@ -94,7 +95,7 @@
 
 async fn wait_until_closed(dialed: &Dialed, is_wanted: impl Fn() -> bool) {
     while is_wanted() {
-        // Nothing was asked, so what comes is an end or an error.
+        // Nothing was sent, so the connection becomes readable only at its end or with an error.
         if timeout(CHECK_INTERVAL, dialed.stream.readable(false))
             .await
             .is_ok()
--- a/crates/mesh/src/gate/records.rs
+++ b/crates/mesh/src/gate/records.rs
@@ -1,7 +1,7 @@
-//! What became of the requests that must not run twice.
+//! Execution records of non-idempotent requests.
 //!
-//! Only the node beside an upstream can reach it, so its word about a request
-//! is final: a request that it has refused here it never lets run later.
+//! Only this node can reach its upstream, so its word about a request is final:
+//! a request that was recalled before it ran is refused from then on.
 
 #[cfg(test)]
 mod tests;
@@ -19,34 +19,35 @@
 use crate::key::AttemptKey;
 use crate::work::Returned;
 
-/// How long the end of a request is remembered: no client waits longer than this.
+/// How long a record is kept: no client waits longer than this.
 const RETENTION: Duration = Duration::from_mins(1);
-/// How long an answer is kept for a caller whose connection broke; it asks within two seconds.
+/// How long a response is kept for a caller whose connection broke; callers ask for it within two
+/// seconds.
 const ANSWER_RETENTION: Duration = Duration::from_secs(5);
-/// The most bytes of answers that are kept.
+/// The maximum total size of the responses that are kept.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Where a request is in its life.
+/// The execution state of a request.
 enum Record {
     /// It waits for admission and has not been sent.
     Waiting,
-    /// It was sent to the upstream; these wait for what becomes of it.
+    /// It was sent to the upstream; the senders notify those who wait for the result.
     Running(Vec<oneshot::Sender<Returned>>),
-    /// It ran or may have run; the answer if it is still kept.
+    /// It ran or may have run, with the response if that is still kept.
     Ended(Option<Box<Returned>>),
     /// It never ran and never will.
     Refused,
 }
 
-/// What is known about a request.
+/// The result of a recall.
 pub(crate) enum Recalled {
-    /// It is over.
+    /// The request has ended.
     Ended(Returned),
-    /// It runs; the answer comes through the receiver.
+    /// The request is running; the receiver yields its result.
     Running(oneshot::Receiver<Returned>),
 }
 
-/// What became of the requests that must not run twice.
+/// Execution records of non-idempotent requests.
 #[derive(Default)]
 pub(crate) struct Records {
     by_attempt: RefCell<HashMap<AttemptKey, Record>>,
@@ -60,7 +61,7 @@
 }
 
 impl Records {
-    /// Opens the record of a request, or returns nothing if there is one already.
+    /// Creates the record of a request, or returns `None` if there is one already.
     pub(crate) fn begin(self: &Rc<Self>, attempt: &AttemptKey, now: Instant) -> Option<Entry> {
         self.evict_expired(now);
         let mut records = self.by_attempt.borrow_mut();
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Returns what became of a request; one that never ran is refused for good.
+    /// Returns the result of a request. One that has not run is refused for good.
     pub(crate) fn recall(&self, attempt: &AttemptKey, now: Instant) -> Recalled {
         self.evict_expired(now);
         let mut records = self.by_attempt.borrow_mut();
@@ -102,17 +103,17 @@
         }
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of records.
     pub(crate) fn len(&self) -> usize {
         self.by_attempt.borrow().len()
     }
 
-    /// Forgets a request that has not run; returns its record.
+    /// Removes the record of a request that has not run.
     fn remove(&self, attempt: &AttemptKey) -> Option<Record> {
         self.by_attempt.borrow_mut().remove(attempt)
     }
 
-    /// Notes the end of a request that ran or may have run; returns its record before that.
+    /// Records the end of a request that ran or may have run; returns the previous record.
     fn record_end(
         &self,
         attempt: &AttemptKey,
@@ -163,16 +164,16 @@
     }
 }
 
-/// The record of one request that is being brought to its end.
+/// Handle of the record of a request that is being executed.
 ///
-/// Dropped before the request was sent, it is forgotten.
+/// Dropping it before the request was sent removes the record.
 pub(crate) struct Entry {
     records: Rc<Records>,
     attempt: AttemptKey,
 }
 
 impl Entry {
-    /// Notes that the request is sent now; returns false if it was refused meanwhile.
+    /// Marks the request as sent; returns false if it has been refused meanwhile.
     pub(crate) fn start(&self) -> bool {
         let mut records = self.records.by_attempt.borrow_mut();
         match records.get_mut(&self.attempt) {
@@ -184,10 +185,10 @@
         }
     }
 
-    /// Notes what became of the request and tells all who wait for it.
+    /// Records the result and notifies everyone who waits for it.
     ///
-    /// One that the upstream turned away is forgotten: its caller may try again, here too. If the
-    /// caller asks for it instead, it is refused for good.
+    /// If the upstream rejected the request, the record is removed so that the caller may retry,
+    /// also on this node. If the caller recalls the request instead, it is refused for good.
     pub(crate) fn finish(self, returned: &Returned, now: Instant) {
         let ended = if returned.outcome == Outcome::NotRun {
             self.records.remove(&self.attempt)
@@ -199,7 +200,7 @@
         };
         for sender in waiting {
             let unknown = || Returned::unknown(Reason::AnswerTooLarge);
-            // Who asked may have left.
+            // The receiver may have been dropped.
             let _ = sender.send(returned.copy().unwrap_or_else(unknown));
         }
     }
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -1,4 +1,4 @@
-//! What the gate answers itself.
+//! Refusals by the gate itself, of requests that the upstream never saw.
 
 use std::time::Instant;
 
--- a/crates/mesh/src/gate/report.rs
+++ b/crates/mesh/src/gate/report.rs
@@ -1,4 +1,4 @@
-//! What the own upstream said last about its load, and when.
+//! The load that the local upstream reported last.
 
 #[cfg(test)]
 mod tests;
@@ -12,31 +12,31 @@
 use crate::dialect::{Dialect, Load};
 use crate::key::UpstreamKey;
 
-/// For how long a pace holds: it changes many times a second.
+/// How long a reported pace is valid: it changes many times a second.
 const PACE_MAX_AGE: Duration = Duration::from_millis(250);
 
-/// The most bytes of a load that cannot be read that are logged.
+/// How much of an unreadable report is logged.
 const MAX_LOGGED_CHARS: usize = 64;
 
-/// What the own upstream said last about its load.
+/// The load that the local upstream reported last.
 #[derive(Debug, Default)]
 pub(crate) struct Report {
     last_pace: Cell<Option<(Pace, Moment)>>,
-    /// What was heard last.
+    /// The last readable report.
     last_load: Cell<Option<Load>>,
-    /// This life has said something that could not be read, which was logged.
+    /// Whether an unreadable report of this incarnation has been logged.
     has_logged_unreadable: Cell<bool>,
 }
 
 impl Report {
-    /// Forgets everything, as another life of the upstream is there.
+    /// Forgets the reports of the previous incarnation.
     pub(super) fn reset(&self) {
         self.last_pace.set(None);
         self.last_load.set(None);
         self.has_logged_unreadable.set(false);
     }
 
-    /// Takes in what this life says of its load, and returns it if it can be read.
+    /// Parses a load report of this incarnation and stores it; returns it if it is readable.
     pub(crate) fn update(
         &self,
         dialect: &dyn Dialect,
@@ -61,8 +61,8 @@
         Some(load)
     }
 
-    /// Returns how many times as long as usual work takes, by the pace and the queue that were told
-    /// last: while nothing is heard, nothing says that they have become better.
+    /// Returns the factor by which work takes longer than usual, from the last reported pace and
+    /// queue length. These do not expire: without a new report nothing indicates an improvement.
     pub(super) fn slowdown(&self) -> f64 {
         let pace = self.last_pace.get().map_or(1.0, |(pace, _)| pace.factor());
         let queue = self.last_load.get().map_or(0.0, |load| {
@@ -71,7 +71,7 @@
         pace.max(1.0) * (1.0 + queue)
     }
 
-    /// Returns how long work takes on the instance at present, if that was heard lately.
+    /// Returns the reported pace of work on the instance, unless it is outdated.
     pub(crate) fn pace(&self, now: Moment) -> Option<Pace> {
         let (pace, at) = self.last_pace.get()?;
         (now.since(at) < PACE_MAX_AGE).then_some(pace)
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to the own upstream and judges what comes back.
+//! Sends a request to the local upstream and classifies the result.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -19,11 +19,11 @@
 use crate::key::UpstreamKey;
 use crate::work::{Returned, Work};
 
-/// The statuses that promise that a request did not run.
+/// Statuses that by their definition promise that the request did not run.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
 impl Gate {
-    /// Sends a request and waits for its answer until a moment at most.
+    /// Sends a request and waits for its response, until `until` at the latest.
     pub(super) async fn send(
         self: &Rc<Self>,
         work: &Work,
@@ -33,7 +33,7 @@
         let upstream = &admitted.upstream;
         let entry = self.contexts.open(work, upstream);
         let exchange = exchange(&self.pool, self.dialect.fields(), upstream, work);
-        // Its state would otherwise be kept once in each of the futures that it passes through.
+        // Boxed, since each of the enclosing futures would otherwise reserve space for its state.
         let exchange = exchange.boxed_local();
         let exchange = until_ended(exchange, admitted.ended.clone());
         let sent = self.track(work, admitted);
@@ -92,7 +92,8 @@
             return Returned::turned_away(Reason::UpstreamShed);
         }
         if PROMISES.contains(&head.status) {
-            let reason = "a status that promises what the upstream does not say";
+            let reason =
+                "a status that implies that the request did not run, not confirmed by the upstream";
             self.events.note_loss(&work.attempt, &reason);
             return Returned::unknown(Reason::Connection);
         }
@@ -120,9 +121,10 @@
     }
 }
 
-/// Waits for an answer of a life of the upstream for as long as that life may give one.
+/// Waits for a response until the incarnation of the upstream is known to have ended.
 ///
-/// An instance that lost power closes no connections, so only its successor shows that it ended.
+/// An instance that lost power does not close its connections, so only a new incarnation shows that
+/// the old one has ended.
 async fn until_ended(
     exchange: impl Future<Output = Result<UpstreamAnswer, ExchangeError>>,
     ended: Ended,
@@ -133,7 +135,7 @@
     }
 }
 
-/// Returns the status line of an answer with the fields that may be passed on.
+/// Returns the status line and the response fields that may be forwarded.
 fn passed_on(head: &ResponseHead) -> Bytes {
     let mut bytes = BytesMut::with_capacity(512);
     bytes.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
--- a/crates/mesh/src/gate/slots.rs
+++ b/crates/mesh/src/gate/slots.rs
@@ -1,7 +1,9 @@
-//! The room that requests take in the own upstream until it is done with them.
+//! Concurrency slots of the local upstream, held until it has finished the
+//! requests.
 //!
-//! A request that was dropped here may go on there. Its room is kept until
-//! the upstream shows that it is free or has no reason to work on it any more.
+//! The upstream may still work on a request that was dropped on this node. The
+//! slot of such a request is retained until the upstream reports that it has
+//! finished, or until the time by which it must have finished or stopped.
 
 #[cfg(test)]
 mod tests;
@@ -21,31 +23,32 @@
 
 use crate::clock::{self, LAST_LOOK};
 
-/// What was sent this long before an answer came is taken to have been read by the upstream when it
-/// wrote that: it is many times the way there.
+/// A request that was sent this long before a response came is assumed to have been read by the
+/// upstream when it wrote that response: many times the latency of the local connection.
 const READ_DELAY: Duration = Duration::from_millis(10);
 
-/// Room whose request has no end yet that is known here.
+/// The slot of a request that was abandoned and may still run.
 struct Retained {
-    /// The number of the request, by the order of sending.
+    /// The sequence number of the request, in the order of sending.
     sequence: u64,
-    /// Given back when it is dropped.
+    /// Released when dropped.
     #[allow(dead_code, reason = "it is held, not read")]
     permit: Permit,
 }
 
-/// The room of the own upstream.
+/// The concurrency slots of the local upstream.
 pub(super) struct Slots {
-    /// The requests that were sent and wait for their answers, and when they were sent.
+    /// The requests that are waiting for their responses, by sequence number, with the time of
+    /// sending.
     in_flight: RefCell<BTreeMap<u64, Moment>>,
     retained: RefCell<VecDeque<Retained>>,
     next_sequence: Cell<u64>,
-    /// What is kept from now on, for the task that frees it in time.
+    /// Newly retained slots and their expiry, for the task that releases them.
     retentions: mpsc::UnboundedSender<(Moment, u64)>,
 }
 
 impl Slots {
-    /// Returns the room of an upstream, and what [`Room::free_in_time`] takes.
+    /// Returns the slots, and the receiver that [`Slots::release_expired`] needs.
     pub(super) fn new() -> (Rc<Self>, mpsc::UnboundedReceiver<(Moment, u64)>) {
         let (retentions, receiver) = mpsc::unbounded();
         let slots = Self {
@@ -57,10 +60,10 @@
         (Rc::new(slots), receiver)
     }
 
-    /// Frees what is kept when its time is over.
+    /// Releases retained slots when they expire.
     ///
-    /// Room is kept where futures are dropped, also at the end of the process, when no task can
-    /// be started any more.
+    /// A single long-lived task does that: slots are retained when futures are dropped, which also
+    /// happens at process exit, when no task can be started any more.
     pub(super) async fn release_expired(
         self: Rc<Self>,
         mut retentions: mpsc::UnboundedReceiver<(Moment, u64)>,
@@ -68,7 +71,7 @@
         while let Some((until, sequence)) = retentions.next().await {
             let slots = Rc::clone(&self);
             task::spawn("kept room", async move {
-                // It is over with the time.
+                // This only ends by its deadline.
                 let _ = clock::until(until, std::future::pending::<()>()).await;
                 if slots.release(sequence) {
                     log_released(1, "time", 0, slots.in_flight.borrow().len());
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Takes the place of a request that is about to be sent.
+    /// Returns the slot of a request that is about to be sent.
     pub(super) fn admit(self: &Rc<Self>, permit: Permit) -> Slot {
         Slot {
             slots: Rc::clone(self),
@@ -87,14 +90,16 @@
         }
     }
 
-    /// Returns how many requests take room whose end is not known.
+    /// Returns the number of retained slots.
     #[cfg(test)]
     pub(super) fn retained(&self) -> usize {
         self.retained.borrow().len()
     }
 
-    /// Takes in how many requests the upstream works on and holds in its queue, as an answer that
-    /// has just come tells, once answers that were written before it are read as well.
+    /// Reconciles retained slots with the number of requests, running and queued, that the upstream
+    /// reported in a response.
+    ///
+    /// It first waits a moment, so that responses written before that one are read as well.
     pub(super) fn reconcile_soon(self: &Rc<Self>, reported: usize, answered: &Slot, came: Moment) {
         if self.retained.borrow().is_empty() {
             return;
@@ -106,11 +111,12 @@
         });
     }
 
-    /// Frees what is neither there nor open here, as told by the answer to a request that came at
-    /// a moment.
+    /// Releases retained slots of requests that the upstream no longer has, as reported in the
+    /// response to the request `answered`, received at `came`.
     ///
-    /// It says nothing of what was sent after it was written. So it frees only what was sent before
-    /// the request that it answers, and what is open here counts if the upstream had read it.
+    /// The report does not cover requests that the upstream had not read when it wrote the
+    /// response. So only slots of requests sent before the answered one are released, and in-flight
+    /// requests count towards the reported number only if the upstream must have read them.
     fn reconcile(&self, reported: usize, answered: u64, came: Moment) {
         let is_counted = |(sequence, sent): &(&u64, &Moment)| {
             **sequence < answered || came.since(**sent) >= READ_DELAY
@@ -119,11 +125,12 @@
         let there = reported.saturating_sub(counted);
         let ended = self.take_older(answered, there);
         log_released(ended.len(), "load", reported, counted);
-        // Each lets the next waiting request in, which may come back here.
+        // Dropping a permit admits the next waiting request, which may call back into this module.
         drop(ended);
     }
 
-    /// Takes out the oldest of what was sent before a request, and leaves so many of these.
+    /// Removes the oldest retained slots of requests sent before `answered`, and leaves `left` of
+    /// them.
     fn take_older(&self, answered: u64, left: usize) -> VecDeque<Retained> {
         let mut retained = self.retained.borrow_mut();
         let earlier = retained
@@ -143,8 +150,9 @@
         ended
     }
 
-    /// Takes in that the upstream works on this many requests that an earlier process sent, until
-    /// the last of them may be over. One place is left, by whose answer their end is heard of.
+    /// Reserves slots for requests that the upstream reports from an earlier process of this node,
+    /// until the last of them must have ended. One slot is left free, since only the response to a
+    /// further request can report that they have ended.
     pub(super) fn reserve_reported(
         &self,
         admission: &Rc<Admission>,
@@ -161,29 +169,30 @@
         }
     }
 
-    /// Frees all that is kept, as another life of the upstream is there.
+    /// Releases all retained slots, as a new incarnation of the upstream has started.
     pub(super) fn release_all(&self) {
         let retained = self.retained.take();
         drop(retained);
     }
 
-    /// Keeps room until a moment, unless it is known before that it is free.
+    /// Retains a slot until a moment, unless the upstream reports before that the request has
+    /// ended.
     fn retain(&self, sequence: u64, permit: Permit, until: Moment) {
         self.retained
             .borrow_mut()
             .push_back(Retained { sequence, permit });
-        // The task is gone at the end of the process only.
+        // The receiver is dropped only at process exit.
         let _ = self.retentions.unbounded_send((until, sequence));
     }
 
-    /// Returns the number of the next request.
+    /// Returns the sequence number of the next request.
     fn sequence(&self) -> u64 {
         let sequence = self.next_sequence.get();
         self.next_sequence.set(sequence + 1);
         sequence
     }
 
-    /// Returns true if it was kept until now.
+    /// Releases a retained slot; returns false if it was released before.
     fn release(&self, sequence: u64) -> bool {
         let freed = {
             let mut retained = self.retained.borrow_mut();
@@ -208,29 +217,28 @@
     }
 }
 
-/// How far a request is.
+/// The state of a request.
 #[derive(Debug, Clone, Copy)]
 enum State {
     Unsent,
-    /// Dropped now, its room is kept until this moment.
+    /// If dropped, the slot is retained until this moment.
     InFlight(Moment),
-    /// Its room is kept.
+    /// The request was abandoned and its slot is retained.
     Retained,
     Released,
 }
 
-/// The place of one request, given back when it is dropped and the upstream is done with it.
+/// The slot of one request, released once the upstream has finished with the request.
 pub(super) struct Slot {
     slots: Rc<Slots>,
     permit: RefCell<Option<Permit>>,
-    /// Its number, once it is sent.
+    /// Its sequence number, once it has been sent.
     sequence: Cell<u64>,
     state: Cell<State>,
 }
 
 impl Slot {
-    /// Notes that it is sent now; if nobody waits for it any more, the upstream may work on it
-    /// until then.
+    /// Marks the request as sent; if it is abandoned, the upstream may work on it until `until`.
     pub(super) fn start(&self, now: Moment, until: Moment) {
         self.sequence.set(self.slots.sequence());
         let mut in_flight = self.slots.in_flight.borrow_mut();
@@ -238,7 +246,7 @@
         self.state.set(State::InFlight(until));
     }
 
-    /// Notes that the upstream is done with it, or never had it.
+    /// Releases the slot: the upstream has finished the request or never received it.
     pub(super) fn finish(&self) {
         match self.state.replace(State::Released) {
             State::InFlight(_) => self.forget_in_flight(),
@@ -249,7 +257,7 @@
         }
     }
 
-    /// Notes that nobody expects an answer any more; the upstream may work on it until then.
+    /// Marks the request as abandoned; the upstream may work on it until `until`.
     pub(super) fn abandon(&self, until: Moment) {
         if !matches!(self.state.get(), State::InFlight(_)) {
             return;
--- a/crates/mesh/src/gate/suspicion.rs
+++ b/crates/mesh/src/gate/suspicion.rs
@@ -1,9 +1,10 @@
-//! What ran when connections to the own upstream broke although its port took new ones.
+//! Requests that ran when connections to the local upstream broke although its
+//! port accepted new ones.
 //!
-//! An upstream that lives breaks a connection now and then. One that ends may
-//! let go of its connections first and of its port last, or leave the port to
-//! a process that it started. Until it is known which of the two it was, what
-//! ran there is remembered.
+//! A live upstream breaks a connection now and then. One that exits may close
+//! its connections first and its listening socket last, or leave the socket to
+//! a child process. Until it is known which of the two it was, the requests
+//! that ran there are remembered as crash suspects.
 
 #[cfg(test)]
 mod tests;
@@ -16,14 +17,14 @@
 use crate::contexts::Context;
 use crate::key::UpstreamKey;
 
-/// For how long a loss may turn out to have been a crash. Whatever holds the port of an upstream
-/// starts it again within a second or two, and connections that are closed at once keep the doubt
-/// alive meanwhile.
+/// How long a lost connection may still turn out to have been a crash. The supervisor that holds
+/// the port of an upstream restarts it within a second or two; connections that it closes at once
+/// meanwhile extend the suspicion.
 const SUSPICION_DURATION: Duration = Duration::from_secs(3);
-/// The most requests that are doubted at once: as many as the event of a crash names.
+/// The maximum number of suspects: as many as the event of a crash names.
 const MAX_SUSPECTS: usize = 200;
 
-/// What ran in one life of the upstream when connections to it broke.
+/// Crash suspects of one incarnation of the upstream.
 #[derive(Debug)]
 pub(super) struct Suspicion {
     upstream: UpstreamKey,
@@ -33,7 +34,7 @@
 }
 
 impl Suspicion {
-    /// Returns a doubt about a life of the upstream whose connection has just broken.
+    /// Returns a suspicion about an incarnation of the upstream whose connection has just broken.
     pub(super) fn new(upstream: UpstreamKey, now: Moment) -> Self {
         Self {
             upstream,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Adds what ran when a further connection broke.
+    /// Adds the requests that ran when another connection broke.
     pub(super) fn add(&mut self, suspects: &[Rc<Context>], now: Moment) {
         self.last_loss = now;
         for one in suspects {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Returns true if the doubt is about this life.
+    /// Returns true if the suspicion concerns this incarnation.
     pub(super) fn is_about(&self, upstream: &UpstreamKey) -> bool {
         self.upstream == *upstream
     }
@@ -63,17 +64,17 @@
     }
 
     /// Returns true if an answer to a request that was sent at this moment shows that the upstream
-    /// lives on.
+    /// is alive.
     pub(super) fn is_refuted_by(&self, sent: Moment) -> bool {
         sent > self.last_loss
     }
 
-    /// Returns the life that it is about.
+    /// Returns the suspected incarnation.
     pub(super) fn upstream(&self) -> &UpstreamKey {
         &self.upstream
     }
 
-    /// Joins what ran there to what has no answer yet, all of it.
+    /// Adds the suspects to the requests that are in flight, without duplicates.
     pub(super) fn add_to(&self, running: &mut Vec<Rc<Context>>) {
         for one in &self.suspects {
             push_new(running, one);
--- a/crates/mesh/src/gate/timeout.rs
+++ b/crates/mesh/src/gate/timeout.rs
@@ -1,88 +1,87 @@
-//! Whether an answer is still to be waited for.
+//! Adaptive response timeout.
 //!
-//! An upstream may never answer a request that it could not queue, or a share
-//! of its requests, while others are served. A machine may also be slow, and
-//! then giving up throws work away. What tells them apart is how long the kind
-//! takes, what the upstream says about its pace and its queue, and whether
-//! requests of the same kind that were sent later have been answered.
+//! An upstream may never answer a request that it could not queue, or a
+//! fraction of its requests, while it serves the others. A slow machine looks
+//! similar, but giving up on it wastes the work that it has done. The two cases
+//! are told apart by the usual latency of the request's kind, the slowdown and
+//! queue length that the upstream reports, and whether requests of the same
+//! kind that were sent later have been answered.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::Duration;
 
-/// How many times as long as the slowest hundredth of its kind a request may take that later ones
-/// have overtaken.
+/// The timeout of a request that later requests have overtaken, as a multiple of the p99 latency of
+/// its kind.
 const OVERTAKEN_FACTOR: f64 = 1.5;
-/// How many times as long as the median of its kind it may take in any case: work that is seldom and
-/// long may not have been seen yet.
+/// The minimum timeout as a multiple of the median latency: rare long requests may be missing from
+/// the samples.
 const MEDIAN_FACTOR: f64 = 10.0;
-/// How many times as long as the slowest hundredth one may take that none has overtaken: the
-/// upstream as a whole may be slow.
+/// The timeout of a request that none has overtaken, as a multiple of the p99 latency: the upstream
+/// as a whole may be slow.
 const NOT_OVERTAKEN_FACTOR: f64 = 4.0;
-/// From this share of requests without an answer on, one that takes longer than the usual late ones
-/// (a twentieth of those with an answer) is much more likely to be silent than slow.
+/// From this fraction of unanswered requests on, a request that exceeds the p95 latency is much
+/// more likely to be lost than slow.
 const HIGH_UNANSWERED_SHARE: f64 = 0.2;
-/// How many times as long as the last that was waited for in vain, while it is not known whether
-/// the upstream has become slow.
+/// The timeout as a multiple of the last wait that was given up, while the upstream may have become
+/// slow.
 const ABANDONED_FACTOR: f64 = 2.0;
-/// How many later requests of its kind must have been answered: one may have been quick by chance.
+/// How many later requests of the same kind must have been answered; a single one may have been
+/// fast by chance.
 const MIN_OVERTAKEN: u32 = 3;
-/// It is waited for at least this long: an instance with little of a processor pauses now and then.
+/// The minimum timeout: an instance with little CPU time pauses now and then.
 const MIN_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often it is looked at whether later ones were answered.
+/// How often to check whether later requests were answered.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a kind of request takes when nothing slows it down.
+/// Percentiles of the latency of a kind of request, without the slowdown of the instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Latency {
-    /// Half of them are quicker,
     pub(super) median: Duration,
-    /// all but one in twenty are quicker than this,
     pub(super) p95: Duration,
-    /// and all but a hundredth are quicker than this.
     pub(super) p99: Duration,
 }
 
-/// What is known of a request without an answer.
+/// What is known of a request that has not been answered yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Pending {
-    /// How long ago it was sent.
+    /// The time since it was sent.
     pub(super) waited: Duration,
-    /// How much time it has left.
+    /// The time left until its deadline.
     pub(super) remaining: Duration,
-    /// How long its kind takes here, if enough of it was answered.
+    /// The latency of its kind on this upstream, if there are enough samples.
     pub(super) latency: Option<Latency>,
-    /// How many times as long as usual work takes here at present.
+    /// The present slowdown of the upstream, as a factor of the usual latency.
     pub(super) slowdown: f64,
-    /// For how long one was waited for in vain before it was sent, if none has been quick since:
-    /// the upstream may have become slow.
+    /// How long an earlier request waited before it was given up, unless a fast response has come
+    /// since: the upstream may have become slow.
     pub(super) last_abandoned: Duration,
     /// How many requests of its kind that were sent later have been answered.
     pub(super) overtaken: u32,
-    /// The share of its kind that was not answered lately.
+    /// The recent fraction of unanswered requests of its kind.
     pub(super) unanswered_share: f64,
-    /// Only a long silence counts: it was taken in, since it has made calls, or it was sent
-    /// elsewhere before, or the upstream has just started and is slow.
+    /// Whether only the longer timeout applies: the request is known to run because it has made
+    /// calls, or it is a retry, or the upstream is slow after a cold start.
     pub(super) is_lenient: bool,
 }
 
-/// Whether it is still waited for.
+/// Whether to go on waiting for a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Decision {
-    /// It is waited for, and looked at again after this time.
+    /// Wait, and decide again after this time.
     Wait(Duration),
-    /// No answer is expected any more.
+    /// Give up: no response is expected any more.
     GiveUp,
 }
 
 impl Pending {
-    /// Decides whether it is waited for.
+    /// Decides whether to go on waiting.
     pub(super) fn decide(&self) -> Decision {
         let Some(latency) = self.latency else {
             return Decision::Wait(self.remaining);
         };
-        // Another upstream would need about this long.
+        // Another upstream would need about this long, so there is no time left for a retry.
         if self.remaining < latency.median.mul_f64(self.slowdown) {
             return Decision::Wait(self.remaining);
         }
@@ -100,7 +99,7 @@
         }
     }
 
-    /// Returns how long it is waited for if others have passed it, and if none has.
+    /// Returns the timeouts of a request that others have overtaken and of one that none has.
     fn limits(&self, latency: Latency) -> (Duration, Duration) {
         let scaled = |time: Duration| time.mul_f64(self.slowdown).max(MIN_TIMEOUT);
         let after_abandoned = self.last_abandoned.mul_f64(ABANDONED_FACTOR);
@@ -116,7 +115,7 @@
         (short, long.max(short))
     }
 
-    /// Returns true if the upstream answers others and not it.
+    /// Returns true if the upstream answers later requests but not this one.
     pub(super) fn is_overtaken(&self) -> bool {
         self.overtaken >= MIN_OVERTAKEN && !self.is_lenient
     }
--- a/crates/mesh/src/gate/upstream.rs
+++ b/crates/mesh/src/gate/upstream.rs
@@ -1,4 +1,4 @@
-//! The own upstream as it announces itself.
+//! State of the local upstream, as it announces itself.
 
 #[cfg(test)]
 mod tests;
@@ -22,56 +22,57 @@
 use crate::key::UpstreamKey;
 use crate::retired::Retired;
 
-/// How long nothing is sent to an upstream after it refused a connection, unless it says before
-/// that it is there.
+/// How long an upstream gets no requests after it refused a connection, unless it sends a heartbeat
+/// before.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(3);
 
-/// How long the present life may be silent before one is believed that says that it was started
-/// earlier. A late beat of a life that has ended looks like that; so does a new life after the
-/// clock of the instance went back. Three beats of an upstream.
+/// How long the current incarnation must be silent before a heartbeat with an earlier start time is
+/// accepted. Such a heartbeat may be a late one of an incarnation that has ended, or come from a
+/// new incarnation after the clock of the instance went back. Three heartbeat intervals.
 const MAX_SILENCE: Duration = Duration::from_millis(4500);
 
-/// The share of its slots that an upstream gets filled: some slow down when they are nearly full.
+/// The fraction of its slots that an upstream gets filled: some slow down when nearly full.
 const SLOT_SHARE: f64 = 0.96;
 
-/// Returns how many requests an upstream with this many slots gets at once.
+/// Returns the concurrency limit for an upstream with this many slots.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn limit(slots: u32) -> u32 {
     let filled = f64::from(slots) * SLOT_SHARE;
     (filled as u32).max(1)
 }
 
-/// This life of the own upstream.
+/// The current incarnation of the local upstream.
 #[derive(Debug, Clone)]
 struct Incarnation {
     key: UpstreamKey,
     slots: u32,
     sequence: u64,
-    /// When its last beat came.
+    /// When its last heartbeat arrived.
     last_heartbeat: Instant,
-    /// Until when it is slow after its start.
+    /// The end of its slow phase after a cold start.
     cold_until: Moment,
 }
 
 impl Incarnation {
-    /// Returns true if a beat comes from this life, as far as it says.
+    /// Returns true if a heartbeat comes from this incarnation, as far as its key tells.
     fn is_sender_of(&self, heartbeat: &Beat) -> bool {
         self.key.is_same_incarnation(&heartbeat.upstream)
     }
 
-    /// Returns true if a beat of an earlier life has to be ignored beside this one.
+    /// Returns true if a heartbeat comes from an earlier incarnation and must be ignored.
     fn supersedes(&self, heartbeat: &Beat, now: Instant) -> bool {
         let silence = now.saturating_duration_since(self.last_heartbeat);
         heartbeat.upstream.is_older_than(&self.key) && silence < MAX_SILENCE
     }
 }
 
-/// Resolves once the life from which it was taken is known to have ended: a later one is there.
+/// Resolves when the incarnation from which it was taken is known to have ended, since a later one
+/// exists.
 pub(crate) type Ended = Shared<oneshot::Receiver<()>>;
 
-/// Ends with the life for which it stands.
+/// Signals the end of an incarnation.
 struct End {
-    /// Dropped when the life has ended.
+    /// Dropped when the incarnation ends, which resolves `ended`.
     _sender: oneshot::Sender<()>,
     ended: Ended,
 }
@@ -86,22 +87,23 @@
     }
 }
 
-/// The own upstream as it announces itself.
+/// State of the local upstream, as it announces itself.
 pub(crate) struct Upstream {
     admission: Rc<Admission>,
     retired: Rc<Retired>,
     current: RefCell<Option<Incarnation>>,
     end: RefCell<End>,
-    /// The upstream tells when it was started; what comes without that is not from it.
+    /// Whether the upstream reports its start time; if so, messages without one are not from it.
     reports_start: Cell<bool>,
-    /// The last life that another one followed although it had not said that it leaves.
+    /// The last incarnation that was replaced by another without having announced that it would
+    /// leave.
     replaced: RefCell<Option<UpstreamKey>>,
     unreachable_until: Cell<Option<Instant>>,
-    /// What the present life said about its load.
+    /// The load that the current incarnation reported.
     pub(crate) report: Report,
-    /// What a life said about its load before this process sent it anything, and when.
+    /// The load that was reported before this process had sent any request, and when.
     initial_load: Cell<Option<(Load, Moment)>>,
-    /// The node stops and lets nothing new in.
+    /// Whether the node is shutting down and admits nothing new.
     closed: Cell<bool>,
     on_availability: RefCell<Vec<Box<dyn Fn()>>>,
     on_new: RefCell<Vec<Box<dyn Fn()>>>,
@@ -129,19 +131,19 @@
         }
     }
 
-    /// Calls `begun` whenever a new life of the upstream takes requests.
+    /// Calls `on_new` whenever a new incarnation of the upstream becomes ready.
     pub(crate) fn on_new_incarnation(&self, on_new: impl Fn() + 'static) {
         self.on_new.borrow_mut().push(Box::new(on_new));
     }
 
-    /// Calls `changed` whenever the upstream starts or ceases to take requests.
+    /// Calls `on_availability` whenever the upstream becomes ready or unavailable.
     pub(crate) fn on_availability_change(&self, on_availability: impl Fn() + 'static) {
         self.on_availability
             .borrow_mut()
             .push(Box::new(on_availability));
     }
 
-    /// Returns the life of the upstream that may get requests now.
+    /// Returns the incarnation of the upstream that accepts requests now.
     pub(crate) fn ready(&self, now: Instant) -> Option<UpstreamKey> {
         let unreachable = self.unreachable_until.get();
         if self.closed.get() || unreachable.is_some_and(|until| now < until) {
@@ -153,19 +155,19 @@
             .map(|current| current.key.clone())
     }
 
-    /// Takes in the load of an upstream to which this process has sent nothing yet.
+    /// Records the load of an upstream to which this process has not sent anything yet.
     pub(crate) fn note_first_load(&self, load: Load, now: Moment) {
         if self.is_unknown() {
             self.initial_load.set(Some((load, now)));
         }
     }
 
-    /// Returns the load that was noted before the first life began, once.
+    /// Takes the load that was recorded before the first incarnation was known.
     pub(super) fn take_initial_load(&self) -> Option<(Load, Moment)> {
         self.initial_load.take()
     }
 
-    /// Returns true if the upstream has just started and says that it is slow.
+    /// Returns true if the upstream is in the slow phase after a cold start.
     pub(crate) fn is_cold(&self, now: Moment) -> bool {
         let current = self.current.borrow();
         current
@@ -173,7 +175,8 @@
             .is_some_and(|current| now < current.cold_until)
     }
 
-    /// Returns how many requests the upstream works on at once, zero if it takes none.
+    /// Returns the number of concurrent requests that the upstream accepts, zero if it is
+    /// unavailable.
     pub(crate) fn slots(&self) -> u32 {
         self.current
             .borrow()
@@ -181,17 +184,17 @@
             .map_or(0, |current| current.slots)
     }
 
-    /// Returns what tells that the present life has ended.
+    /// Returns a future that resolves when the current incarnation has ended.
     pub(crate) fn ended(&self) -> Ended {
         self.end.borrow().ended.clone()
     }
 
-    /// Returns true if the upstream tells when it was started.
+    /// Returns true if the upstream reports its start time.
     pub(crate) fn reports_start(&self) -> bool {
         self.reports_start.get()
     }
 
-    /// Returns true if a beat tells of a life that may get requests and is not the present one.
+    /// Returns true if a heartbeat announces an incarnation that is ready and not the current one.
     pub(crate) fn is_new_incarnation(&self, heartbeat: &Beat, now: Instant) -> bool {
         let known = self.current.borrow();
         let is_known = known.as_ref().is_some_and(|current| {
@@ -202,7 +205,8 @@
             && !self.retired.contains(&heartbeat.upstream)
     }
 
-    /// Takes in a beat of a life that takes requests; one that came late or is retired is ignored.
+    /// Handles a heartbeat of an incarnation that is ready. Late ones and those of retired
+    /// incarnations are ignored.
     pub(crate) fn handle_heartbeat(&self, heartbeat: &Beat, now: Instant) {
         if self.retired.contains(&heartbeat.upstream) {
             return;
@@ -212,7 +216,8 @@
             Some(current) if current.is_sender_of(heartbeat) => self.update(heartbeat, now),
             Some(current) if current.supersedes(heartbeat, now) => {}
             Some(earlier) => {
-                // One that was started later may only have been silent, and may be back.
+                // An incarnation with a later start time may only have been silent, and may come
+                // back.
                 if !heartbeat.upstream.is_older_than(&earlier.key) {
                     self.replaced.replace(Some(earlier.key.clone()));
                     self.retired.note(earlier.key);
@@ -228,7 +233,7 @@
         let Some(current) = current.as_mut() else {
             return;
         };
-        // It was known by its id alone, from an answer that does not tell the start.
+        // So far only its id was known, from a response that lacks the start time.
         let is_named_now = current.key != heartbeat.upstream;
         if heartbeat.sequence <= current.sequence && !is_named_now {
             return;
@@ -281,35 +286,36 @@
         self.notify_availability();
     }
 
-    /// Lets nothing new in, since the node stops.
+    /// Admits nothing new, since the node is shutting down.
     pub(crate) fn close(&self) {
         if !self.closed.replace(true) {
             self.notify_availability();
         }
     }
 
-    /// Returns true if the node lets nothing new in, since it stops.
+    /// Returns true if the node is shutting down and admits nothing new.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed.get()
     }
 
-    /// Returns true if no life of the upstream is known that takes requests.
+    /// Returns true if no ready incarnation of the upstream is known.
     pub(crate) fn is_unknown(&self) -> bool {
         self.current.borrow().is_none()
     }
 
-    /// Returns true if a later life followed this one although it had not said that it leaves.
+    /// Returns true if this incarnation was replaced by another without having announced that it
+    /// would leave.
     pub(crate) fn was_replaced(&self, upstream: &UpstreamKey) -> bool {
         self.replaced.borrow().as_ref() == Some(upstream)
     }
 
-    /// Returns true if this life leaves or has left, as it said.
+    /// Returns true if this incarnation announced that it leaves.
     pub(crate) fn has_left(&self, upstream: &UpstreamKey) -> bool {
         self.retired.contains(upstream) && !self.was_replaced(upstream)
     }
 
-    /// Sends nothing new to this life from now on, and returns which one that is: of a life that
-    /// does not tell its start, the present one with its id.
+    /// Sends nothing new to this incarnation from now on and returns its key. A key without start
+    /// time stands for the current incarnation with the same id.
     pub(crate) fn retire(&self, upstream: &UpstreamKey, reason: &str) -> UpstreamKey {
         let present = self
             .current
@@ -333,7 +339,7 @@
         retired
     }
 
-    /// Notes that the upstream refused a connection.
+    /// Records that the upstream refused a connection.
     pub(crate) fn record_unreachable(&self, now: Instant) {
         let was = self
             .unreachable_until
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -1,4 +1,4 @@
-//! Waits for answers, and gives up those that are not expected any more.
+//! Waits for responses, and gives up when none is expected any more.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,46 +20,46 @@
 use crate::key::AttemptKey;
 use crate::work::{Returned, Work};
 
-/// How long it is waited at most before it is looked again.
+/// The maximum time between two checks.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long before the deadline the caller is told that no answer is expected, so that it hears
-/// of it before its own time is over.
+/// How long before the deadline the caller is told that no response is expected, so that it hears
+/// of that before its own timeout.
 const REPLY_MARGIN: Duration = Duration::from_millis(25);
 
-/// What an exchange ends with, if it does in time.
+/// The result of an exchange, or `Late` after the deadline.
 type Exchanged = Result<Result<UpstreamAnswer, ExchangeError>, Late>;
 
-/// What came of waiting.
+/// How the wait for a response ended.
 pub(super) enum Waited {
-    /// The exchange or its time is over.
+    /// The exchange is complete or its deadline has passed.
     Finished(Exchanged),
-    /// No answer is expected any more, and the connection is closed.
+    /// No response is expected any more, and the connection is closed.
     GivenUp,
 }
 
-/// A request that is sent, and what is known of its kind.
+/// A request that has been sent, with the statistics of its kind.
 pub(super) struct Sent<'a> {
     attempt: &'a AttemptKey,
     name: &'a KindName,
     kind: Rc<Kind>,
     in_flight: InFlight,
-    /// When it is sent.
+    /// When it was sent.
     pub(super) at: Moment,
     deadline: Moment,
-    /// It may be sent elsewhere after silence.
+    /// Whether it may be sent again elsewhere if no response comes.
     is_repeatable: bool,
     is_retry: bool,
     admitted: &'a Admitted,
 }
 
 impl Sent<'_> {
-    /// Takes in the end of an exchange: what of its room is free.
+    /// Releases the request's slot, or retains it if the upstream may still work on the request.
     pub(super) fn record_end(&self, end: &Waited, admitted: &Admitted) {
         match end {
             Waited::GivenUp => admitted.slot.abandon(self.deadline),
-            // A broken connection does not say that the upstream stopped.
+            // A broken connection does not mean that the upstream has stopped work on the request.
             Waited::Finished(Ok(Err(error))) if error.may_still_run() => {}
-            // An upstream stops at the deadline that it was told.
+            // An upstream stops work at the deadline that it was given.
             Waited::Finished(_) => admitted.slot.finish(),
         }
         if matches!(end, Waited::GivenUp | Waited::Finished(Err(Late))) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes in its answer.
+    /// Records the latency of a successful response.
     pub(super) fn record_answer(&self, returned: &Returned, slowdown: f64) {
         if returned.is_success() {
             self.in_flight.record_answer(slowdown, Instant::now());
@@ -77,7 +77,7 @@
 }
 
 impl Gate {
-    /// Notes that a request is sent now.
+    /// Starts tracking a request that is sent now.
     pub(super) fn track<'a>(&self, work: &'a Work, admitted: &'a Admitted) -> Sent<'a> {
         let kind = self.kinds.get(&work.kind);
         let latency = kind.latency();
@@ -101,10 +101,10 @@
         }
     }
 
-    /// Waits for the end of an exchange for as long as one is expected.
+    /// Waits for the end of an exchange as long as a response is expected.
     ///
-    /// What must not run twice is waited for to its deadline, since nothing is gained by giving it
-    /// up; only its room is.
+    /// A non-idempotent request always waits until its deadline, as it can't be retried and giving
+    /// up gains nothing; only its slot is treated as abandoned.
     pub(super) async fn wait_for(
         &self,
         sent: &Sent<'_>,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Waits until no answer to a request is expected any more.
+    /// Waits until no response is expected any more.
     async fn until_given_up(&self, sent: &Sent<'_>, context: &Context) {
         let mut is_recheck = false;
         loop {
@@ -182,8 +182,9 @@
     }
 }
 
-/// Waits for the end of a request that must not run twice, until shortly before its deadline if
-/// no answer to it is expected any more.
+/// Waits for the result of a non-idempotent request.
+///
+/// If no response is expected any more, the wait ends shortly before the deadline.
 pub(super) async fn await_result(
     deadline: Moment,
     is_given_up: &Cell<bool>,
