--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or streamed because they are long.
+//! Bodies of responses, either buffered or streamed.
 
 use std::any::Any;
 use std::fmt;
@@ -13,18 +13,18 @@
 
 impl std::error::Error for Truncated {}
 
-/// Where the rest of a streamed body comes from; each piece is read only when it is asked for.
+/// The source of a streamed body; each chunk is read only when it is requested.
 pub(crate) trait Source {
-    /// Returns the next bytes, or nothing once the body is whole.
+    /// Returns the next chunk, or `None` at the end of the body.
     fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Truncated>>;
 }
 
-/// A body that is passed on while it is read.
+/// A body that is forwarded while it is being read.
 pub(crate) struct Stream {
-    /// The length of the whole body, if it is known.
+    /// The length of the complete body, if known.
     pub(crate) length: Option<u64>,
     source: Box<dyn Source>,
-    /// What must live as long as the body is read, such as the slot at the upstream.
+    /// Values that are dropped with the stream, such as the concurrency slot of the upstream.
     guards: Vec<Box<dyn Any>>,
 }
 
@@ -37,22 +37,22 @@
         }
     }
 
-    /// Returns the next bytes, or nothing once the body is whole.
+    /// Returns the next chunk, or `None` at the end of the body.
     pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Truncated> {
         self.source.next().await
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub(crate) enum Body {
-    /// It is all there.
+    /// A complete body in memory.
     Whole(Bytes),
-    /// It is long and comes in pieces.
+    /// A long body that arrives in chunks.
     Stream(Stream),
 }
 
 impl Body {
-    /// Returns the body if it is all there.
+    /// Returns the body if it is completely in memory.
     pub(crate) fn whole(&self) -> Option<&Bytes> {
         match self {
             Self::Whole(bytes) => Some(bytes),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Keeps `guard` for as long as the body is read; one that is all there needs none.
+    /// Keeps `guard` until the body has been read; a buffered body drops it at once.
     pub(crate) fn hold(&mut self, guard: impl Any) {
         if let Self::Stream(stream) = self {
             stream.guards.push(Box::new(guard));
--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -38,10 +38,7 @@
     ) -> Self {
         let rules = crate::node::ADMISSION_RULES;
         let (slots, retentions) = Slots::new();
-        task::spawn(
-            "room of the upstream",
-            Rc::clone(&slots).release_expired(retentions),
-        );
+        task::spawn("slot expiry", Rc::clone(&slots).release_expired(retentions));
         let gate = Gate {
             dialect,
             service,
--- a/crates/mesh/src/gate/exchange/tests.rs
+++ b/crates/mesh/src/gate/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! What reaches the upstream, and what does not.
+//! Requests that must not reach the upstream.
 
 use std::io::Read as _;
 use std::net::TcpListener;
@@ -28,12 +28,12 @@
     upstream: "upstream",
 };
 
-/// A node that stood still between the start of its connection and the end sends nothing: the
-/// upstream would run it for nobody, after its caller was told that its time is over.
+/// A node that is suspended while it connects must not send the request afterwards: the caller has
+/// been told that its time is over, so the upstream would work for nobody.
 #[test]
 fn nothing_sent_too_late() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let pool = Pool::new(listener.local_addr().expect("it is bound"));
+    let pool = Pool::new(listener.local_addr().expect("a local address"));
     let late = Work {
         deadline: clock::now().before(Duration::from_millis(1)),
         ..work("a")
@@ -43,11 +43,15 @@
         let exchange = exchange(&pool, &FIELDS, &upstream, &late);
         timeout(Duration::from_secs(1), exchange).await
     });
-    let result = result.expect("a runtime").expect("no answer is awaited");
-    let error = result.err().expect("nothing answers");
+    let result = result
+        .expect("a runtime")
+        .expect("it must not wait for a response");
+    let error = result.err().expect("there is no response");
     assert!(error.is_unsent(), "{error}");
-    let (mut stream, _) = listener.accept().expect("it was connected");
+    let (mut stream, _) = listener.accept().expect("a connection");
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).expect("it ends");
+    stream
+        .read_to_end(&mut bytes)
+        .expect("the connection is closed");
     assert!(bytes.is_empty(), "{}", String::from_utf8_lossy(&bytes));
 }
--- a/crates/mesh/src/gate/kinds/tests.rs
+++ b/crates/mesh/src/gate/kinds/tests.rs
@@ -1,4 +1,4 @@
-//! What is learned of a kind, and forgotten.
+//! Latency statistics of a kind of request: learning and aging.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
     Kinds::default().get(&"lookup".parse().expect("a name"))
 }
 
-/// Answers requests that took this long, one after the other.
+/// Records responses of this latency, one after the other.
 fn answer(kind: &Rc<Kind>, now: Instant, count: u64, time: Duration) {
     for _ in 0..count {
         kind.begin(now).record_answer(1.0, now + time);
@@ -30,22 +30,22 @@
 fn learned() {
     let (kind, now) = (kind(), Instant::now());
     answer(&kind, now, MIN_SAMPLES - 1, ms(40));
-    assert_eq!(kind.latency(), None, "too few are known");
+    assert_eq!(kind.latency(), None, "too few samples");
     answer(&kind, now, 180, ms(40));
     answer(&kind, now, 4, ms(300));
-    let latency = kind.latency().expect("enough are known");
+    let latency = kind.latency().expect("enough samples");
     assert_near(latency.median, ms(40));
     assert_near(latency.p99, ms(300));
 }
 
-/// Times are kept as they would be at the usual pace.
+/// Latencies are stored without the slowdown of the instance.
 #[test]
 fn at_usual_pace() {
     let (kind, now) = (kind(), Instant::now());
     for _ in 0..MIN_SAMPLES {
         kind.begin(now).record_answer(4.0, now + ms(400));
     }
-    assert_near(kind.latency().expect("known").median, ms(100));
+    assert_near(kind.latency().expect("enough samples").median, ms(100));
 }
 
 #[test]
@@ -58,10 +58,10 @@
     }
     now += WINDOW;
     answer(&kind, now, 100, ms(50));
-    assert_near(kind.latency().expect("known").p99, ms(50));
+    assert_near(kind.latency().expect("enough samples").p99, ms(50));
 }
 
-/// A kind that comes seldom is not forgotten for that.
+/// The statistics of a rare kind are not dropped because of their age.
 #[test]
 fn rare_ones_stay() {
     let (kind, now) = (kind(), Instant::now());
@@ -82,7 +82,7 @@
     second.record_answer(1.0, now);
     assert_eq!((first.overtaken(), second.overtaken()), (2, 1));
     first.record_answer(1.0, now);
-    assert_eq!(second.overtaken(), 1, "the first was sent before");
+    assert_eq!(second.overtaken(), 1, "the first was sent earlier");
 }
 
 #[test]
@@ -94,7 +94,11 @@
     let last_abandoned = |at: Instant| kind.begin(at).last_abandoned();
     assert_eq!(last_abandoned(now + ms(300)), ms(300));
     before.record_answer(1.0, now + ms(310));
-    assert_eq!(last_abandoned(now + ms(310)), ms(300), "it was sent before");
+    assert_eq!(
+        last_abandoned(now + ms(310)),
+        ms(300),
+        "it was sent earlier"
+    );
     answer(&kind, now + ms(400), 1, ms(400));
     assert_eq!(last_abandoned(now + ms(800)), ms(300), "it was slow itself");
     answer(&kind, now + ms(800), 1, ms(40));
@@ -103,7 +107,7 @@
     assert_eq!(
         last_abandoned(now + ms(300) + WINDOW),
         Duration::ZERO,
-        "long ago"
+        "the abandoned wait has expired"
     );
 }
 
@@ -127,7 +131,7 @@
     assert!((0.4..=0.6).contains(&share), "{share}");
     assert!(
         kind.unanswered_share(now + WINDOW) < share / 3.0,
-        "it fades"
+        "the share decays"
     );
     for _ in 0..40 {
         kind.record_outcome(false, now);
--- a/crates/mesh/src/gate/loss.rs
+++ b/crates/mesh/src/gate/loss.rs
@@ -82,7 +82,7 @@
     /// was a crash. The lost request does not wait for it.
     fn watch(self: &Rc<Self>, guard: Guard, attempt: AttemptKey) {
         let gate = Rc::clone(self);
-        task::spawn("watch of the port", async move {
+        task::spawn("port watch", async move {
             let began = Instant::now();
             let suspected = || gate.detector.suspected(clock::now());
             let finding = port::watch(gate.detector.target(), || suspected().is_some()).await;
--- a/crates/mesh/src/gate/port/tests.rs
+++ b/crates/mesh/src/gate/port/tests.rs
@@ -1,4 +1,4 @@
-//! What a connection shows that could not be opened.
+//! Classification of failed connections.
 
 use std::io;
 
@@ -10,7 +10,7 @@
     Finding::of(&DialError::Io(kind.into()))
 }
 
-/// A node without descriptors does not take each lost answer for a crash.
+/// A node without free file descriptors must not take every lost response for a crash.
 #[test]
 fn only_refusals_tell() {
     assert_eq!(found(io::ErrorKind::ConnectionRefused), Finding::Refused);
--- a/crates/mesh/src/gate/records/tests.rs
+++ b/crates/mesh/src/gate/records/tests.rs
@@ -1,4 +1,4 @@
-//! What is remembered about requests that must not run twice.
+//! Execution records of non-idempotent requests.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 use crate::work::Returned;
 
 fn text(returned: &Returned) -> &[u8] {
-    returned.body.whole().expect("it is whole")
+    returned.body.whole().expect("a buffered body")
 }
 
 fn recall(records: &Records, key: &AttemptKey, now: Instant) -> Returned {
     match records.recall(key, now) {
         Recalled::Ended(returned) => returned,
-        Recalled::Running(_) => panic!("it runs"),
+        Recalled::Running(_) => panic!("the request is still running"),
     }
 }
 
@@ -43,9 +43,12 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let entry = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("a new request");
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
-    assert!(!entry.start(), "it was refused while it waited");
+    assert!(
+        !entry.start(),
+        "it was refused while it waited for admission"
+    );
 }
 
 #[test]
@@ -55,17 +58,17 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let entry = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("a new request");
     assert!(entry.start());
     let Recalled::Running(mut receiver) = records.recall(&key, now) else {
-        panic!("it runs");
+        panic!("the request is still running");
     };
     let answer = Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
     entry.finish(&answer, now);
     let told = receiver
         .try_recv()
-        .expect("the sender lives")
-        .expect("it was told");
+        .expect("the sender exists")
+        .expect("a result was sent");
     assert_eq!(text(&told), b"done");
     assert_eq!(text(&recall(&records, &key, now)), b"done");
 }
@@ -77,7 +80,7 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let entry = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("a new request");
     entry.start();
     entry.finish(
         &Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done"))),
@@ -97,13 +100,14 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let entry = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("a new request");
     entry.start();
     drop(entry);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::Unknown);
 }
 
-/// The only upstream of a service turned it away once, and it was refused ever after.
+/// Guards against a request that is refused for good after the only upstream of its service has
+/// rejected it once.
 #[test]
 fn turned_away_may_try_again() {
     let (records, key, now) = (
@@ -111,12 +115,16 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let entry = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("a new request");
     drop(entry);
-    let entry = records.begin(&key, now).expect("it was not admitted");
+    let entry = records
+        .begin(&key, now)
+        .expect("the unsent request left no record");
     assert!(entry.start());
     entry.finish(&Returned::turned_away(Reason::UpstreamShed), now);
-    let entry = records.begin(&key, now).expect("it was turned away");
+    let entry = records
+        .begin(&key, now)
+        .expect("the rejected request left no record");
     assert!(entry.start());
 }
 
@@ -127,7 +135,7 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let entry = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("a new request");
     entry.start();
     entry.finish(&Returned::turned_away(Reason::UpstreamShed), now);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
--- a/crates/mesh/src/gate/report/tests.rs
+++ b/crates/mesh/src/gate/report/tests.rs
@@ -1,4 +1,4 @@
-//! What is kept of what an upstream says about its load, and for how long.
+//! Validity of load reports.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::dialect::{Announcement, Dialect, DialectError, FieldNames, Load};
 use crate::key::UpstreamKey;
 
-/// Reads a pace alone.
+/// A dialect that parses only a pace.
 struct PaceOnly;
 
 impl Dialect for PaceOnly {
     fn fields(&self) -> &FieldNames {
-        unreachable!("nothing is sent")
+        unreachable!("no request is sent")
     }
 
     fn announcement(&self, _request: &Request) -> Result<Announcement, DialectError> {
@@ -48,7 +48,7 @@
 
 const NOW: Moment = Moment::since_boot(Duration::from_secs(100));
 
-fn told(values: &[&str]) -> Report {
+fn updated(values: &[&str]) -> Report {
     let report = Report::default();
     let upstream = UpstreamKey::new("i-1", None).expect("a sound id");
     for value in values {
@@ -59,7 +59,7 @@
 
 #[test]
 fn pace_ages() {
-    let report = told(&["250"]);
+    let report = updated(&["250"]);
     let pace = Pace::from_percent(250).ok();
     assert_eq!(report.pace(NOW), pace);
     let old = NOW + PACE_MAX_AGE;
@@ -69,37 +69,37 @@
 
 #[test]
 fn unreadable_ones_change_nothing() {
-    let report = told(&["250", "nothing"]);
+    let report = updated(&["250", "nothing"]);
     assert_eq!(report.pace(NOW), Pace::from_percent(250).ok());
 }
 
-/// Two of three slots' worth of requests wait.
+/// The reports show two queued requests on three slots.
 #[test]
 fn slowness() {
-    let told = |values: &[&str]| told(values).slowdown();
+    let updated = |values: &[&str]| updated(values).slowdown();
     let queue = 1.0 + 2.0 / 3.0;
     let is_near = |one: f64, other: f64| (one - other).abs() < 1e-9;
-    assert!(is_near(told(&[]), 1.0));
-    assert!(is_near(told(&["250"]), 2.5 * queue));
+    assert!(is_near(updated(&[]), 1.0));
+    assert!(is_near(updated(&["250"]), 2.5 * queue));
     assert!(
-        is_near(told(&["50"]), queue),
-        "a quick one is not waited for less"
+        is_near(updated(&["50"]), queue),
+        "a fast instance does not shorten the wait"
     );
     assert!(
-        is_near(told(&["250", "0"]), 2.5 * queue),
-        "the last pace stays"
+        is_near(updated(&["250", "0"]), 2.5 * queue),
+        "the last pace is kept"
     );
 }
 
 #[test]
 fn without_pace() {
-    let report = told(&["0"]);
+    let report = updated(&["0"]);
     assert_eq!(report.pace(NOW), None);
 }
 
 #[test]
 fn other_life() {
-    let report = told(&["250"]);
+    let report = updated(&["250"]);
     report.reset();
     assert_eq!(report.pace(NOW), None);
 }
--- a/crates/mesh/src/gate/slots.rs
+++ b/crates/mesh/src/gate/slots.rs
@@ -70,7 +70,7 @@
     ) {
         while let Some((until, sequence)) = retentions.next().await {
             let slots = Rc::clone(&self);
-            task::spawn("kept room", async move {
+            task::spawn("retained slot", async move {
                 // This only ends by its deadline.
                 let _ = clock::until(until, std::future::pending::<()>()).await;
                 if slots.release(sequence) {
@@ -105,7 +105,7 @@
             return;
         }
         let (slots, sequence) = (Rc::clone(self), answered.sequence.get());
-        task::spawn("told room", async move {
+        task::spawn("slot reconciliation", async move {
             sleep(LAST_LOOK).await;
             slots.reconcile(reported, sequence, came);
         });
--- a/crates/mesh/src/gate/slots/tests.rs
+++ b/crates/mesh/src/gate/slots/tests.rs
@@ -1,4 +1,4 @@
-//! When the room of requests whose end is not known comes back.
+//! When the slots of abandoned requests are released.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -25,7 +25,7 @@
         let admission = Rc::new(Admission::new(ADMISSION_RULES, Instant::now()));
         admission.declare_limit(Limit::Fixed(slots));
         let (slots, retentions) = Slots::new();
-        task::spawn("room", Rc::clone(&slots).release_expired(retentions));
+        task::spawn("slot expiry", Rc::clone(&slots).release_expired(retentions));
         Self { admission, slots }
     }
 
@@ -38,23 +38,23 @@
 
     /// Sends a request that the upstream may work on for this time.
     fn send(&self, time: Duration) -> Slot {
-        let slot = self.slots.admit(self.permit().expect("there is room"));
+        let slot = self.slots.admit(self.permit().expect("a free slot"));
         let now = clock::now();
         slot.start(now, now + time);
         slot
     }
 
-    /// Takes in what the answer to a request that is sent now tells.
-    fn reconcile(&self, told: usize) {
-        self.answer(self.send(LEFT), told);
+    /// Sends a request, and handles its response with this reported number of requests.
+    fn reconcile(&self, reported: usize) {
+        self.answer(self.send(LEFT), reported);
     }
 
-    /// Takes in what the answer to a request tells; returns the number of the request.
-    fn answer(&self, answered: Slot, told: usize) -> u64 {
+    /// Handles the response to a request; returns the sequence number of the request.
+    fn answer(&self, answered: Slot, reported: usize) -> u64 {
         let number = answered.sequence.get();
         answered.finish();
         drop(answered);
-        self.slots.reconcile(told, number, clock::now());
+        self.slots.reconcile(reported, number, clock::now());
         number
     }
 
@@ -73,14 +73,14 @@
         let upstream = Upstream::with_slots(2);
         let slot = upstream.send(LEFT);
         slot.finish();
-        assert_eq!(upstream.used(), 1, "its answer may still be read");
+        assert_eq!(upstream.used(), 1, "its response may still be read");
         drop(slot);
         assert_eq!((upstream.used(), upstream.slots.retained()), (0, 0));
-        // One that was never sent takes nothing.
+        // A request that was never sent retains no slot.
         drop(
             upstream
                 .slots
-                .admit(upstream.permit().expect("there is room")),
+                .admit(upstream.permit().expect("a free slot")),
         );
         assert_eq!(upstream.used(), 0);
     });
@@ -108,7 +108,11 @@
             drop(upstream.send(LEFT));
         }
         upstream.reconcile(4);
-        assert_eq!(upstream.slots.retained(), 3, "all are there");
+        assert_eq!(
+            upstream.slots.retained(),
+            3,
+            "the upstream still has them all"
+        );
         upstream.reconcile(2);
         assert_eq!((upstream.slots.retained(), upstream.used()), (1, 2));
         upstream.reconcile(0);
@@ -117,7 +121,8 @@
     });
 }
 
-/// One that is silent keeps its room without counting as open; an answer after all frees it.
+/// An abandoned request retains its slot without counting as in flight; a late response releases
+/// the slot.
 #[test]
 fn silent() {
     play(async || {
@@ -130,7 +135,7 @@
         let slot = upstream.send(LEFT);
         slot.abandon(clock::now() + LEFT);
         upstream.reconcile(0);
-        assert_eq!(upstream.used(), 0, "it is not there");
+        assert_eq!(upstream.used(), 0, "the upstream does not have it");
         drop(slot);
         assert_eq!(upstream.used(), 0);
     });
@@ -144,7 +149,11 @@
         upstream
             .slots
             .reserve_reported(&upstream.admission, 9, until);
-        assert_eq!(upstream.used(), 3, "one is left to hear from");
+        assert_eq!(
+            upstream.used(),
+            3,
+            "one slot stays free for a request whose response reports the load"
+        );
         let slot = upstream.send(LEFT);
         slot.finish();
         drop(slot);
@@ -163,7 +172,7 @@
     });
 }
 
-/// What was sent after the answered request may have come after that was written.
+/// A request that was sent after the answered one may have arrived after the response was written.
 #[test]
 fn sent_later() {
     play(async || {
@@ -171,13 +180,22 @@
         let answered = upstream.send(LEFT);
         drop(upstream.send(LEFT));
         upstream.answer(answered, 0);
-        assert_eq!(upstream.slots.retained(), 1, "it was not there yet");
+        assert_eq!(
+            upstream.slots.retained(),
+            1,
+            "it may have arrived after the report"
+        );
         upstream.reconcile(0);
-        assert_eq!(upstream.slots.retained(), 0, "it has ended");
+        assert_eq!(
+            upstream.slots.retained(),
+            0,
+            "the upstream no longer has it"
+        );
     });
 }
 
-/// A request that is open is not taken for one that the upstream counts before it can have read it.
+/// An in-flight request does not count towards the reported number before the upstream can have
+/// read it.
 #[test]
 fn not_read_yet() {
     play(async || {
@@ -189,7 +207,11 @@
         assert_eq!(upstream.slots.retained(), 1, "the upstream may work on it");
         let came = clock::now() + READ_DELAY;
         upstream.slots.reconcile(1, number, came);
-        assert_eq!(upstream.slots.retained(), 0, "the other one is counted");
+        assert_eq!(
+            upstream.slots.retained(),
+            0,
+            "the reported one is the in-flight request"
+        );
         later.finish();
     });
 }
--- a/crates/mesh/src/gate/suspicion/tests.rs
+++ b/crates/mesh/src/gate/suspicion/tests.rs
@@ -1,4 +1,5 @@
-//! What is doubted, for how long, and what settles it.
+//! Which requests are crash suspects, for how long, and what refutes a
+//! suspicion.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,10 +14,10 @@
 const BEGAN: Moment = Moment::since_boot(Duration::from_secs(100));
 
 fn upstream(id: &str) -> UpstreamKey {
-    UpstreamKey::new(id, None).expect("a sound id")
+    UpstreamKey::new(id, None).expect("a valid id")
 }
 
-/// Returns what ran when an upstream ended that is doubted and has these without an answer.
+/// Returns the suspects together with the requests in flight when the upstream crashed.
 fn joined(suspicion: &Suspicion, running: &[Rc<Context>]) -> Vec<Rc<Context>> {
     let mut suspects = running.to_vec();
     suspicion.add_to(&mut suspects);
@@ -25,9 +26,9 @@
 
 #[test]
 fn losses_add_up() {
-    let life = upstream("i-1");
-    let suspects = contexts_of(&life, 3);
-    let mut suspicion = Suspicion::new(life, BEGAN);
+    let incarnation = upstream("i-1");
+    let suspects = contexts_of(&incarnation, 3);
+    let mut suspicion = Suspicion::new(incarnation, BEGAN);
     suspicion.add(&suspects[..2], BEGAN);
     suspicion.add(&suspects[1..], BEGAN);
     let known = joined(&suspicion, &[]);
@@ -35,21 +36,22 @@
     assert!(known.len() == 3 && known.iter().zip(&suspects).all(is_same));
 }
 
-/// An upstream may run more than are doubted; what has no answer when it ends is named whole.
+/// The number of suspects is bounded, but requests that are in flight at the crash are all
+/// included.
 #[test]
 fn joined_whole() {
-    let life = upstream("i-1");
-    let suspects = contexts_of(&life, MAX_SUSPECTS + 100);
-    let mut suspicion = Suspicion::new(life, BEGAN);
+    let incarnation = upstream("i-1");
+    let suspects = contexts_of(&incarnation, MAX_SUSPECTS + 100);
+    let mut suspicion = Suspicion::new(incarnation, BEGAN);
     suspicion.add(&suspects[..2], BEGAN);
     assert_eq!(joined(&suspicion, &suspects[1..]).len(), suspects.len());
 }
 
 #[test]
 fn bounded_number() {
-    let life = upstream("i-1");
-    let suspects = contexts_of(&life, MAX_SUSPECTS + 1);
-    let mut suspicion = Suspicion::new(life, BEGAN);
+    let incarnation = upstream("i-1");
+    let suspects = contexts_of(&incarnation, MAX_SUSPECTS + 1);
+    let mut suspicion = Suspicion::new(incarnation, BEGAN);
     suspicion.add(&suspects, BEGAN);
     assert_eq!(joined(&suspicion, &[]).len(), MAX_SUSPECTS);
 }
@@ -63,7 +65,8 @@
     assert!(!suspicion.is_current(later + SUSPICION_DURATION));
 }
 
-/// An answer to what was sent before the loss may have been under way when the upstream ended.
+/// A response to a request that was sent before the loss may have been on its way when the upstream
+/// ended.
 #[test]
 fn settled_by_later_answers() {
     let suspicion = Suspicion::new(upstream("i-1"), BEGAN);
--- a/crates/mesh/src/gate/timeout/tests.rs
+++ b/crates/mesh/src/gate/timeout/tests.rs
@@ -1,4 +1,4 @@
-//! When an answer is not expected any more.
+//! When the wait for a response is given up.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     Duration::from_millis(millis)
 }
 
-/// Half of its kind take 100 ms or less, all but few 400 ms.
+/// Half of the requests take 100 ms or less, nearly all 400 ms or less.
 const LATENCY: Latency = Latency {
     median: ms(100),
     p95: ms(300),
@@ -26,7 +26,7 @@
     is_lenient: false,
 };
 
-/// Plays the waiting to its end: how long it lasts, or nothing if it is waited to the deadline.
+/// Simulates the wait; returns how long it lasts, or `None` if it lasts until the deadline.
 fn given_up_after(begin: Pending) -> Option<Duration> {
     let mut now = begin;
     loop {
@@ -34,10 +34,7 @@
             Decision::GiveUp => return Some(now.waited),
             Decision::Wait(_) if now.remaining.is_zero() => return None,
             Decision::Wait(time) => {
-                assert!(
-                    time > Duration::ZERO,
-                    "it is looked at again at once: {now:?}"
-                );
+                assert!(time > Duration::ZERO, "a zero wait would spin: {now:?}");
                 let time = time.min(now.remaining);
                 now.waited += time;
                 now.remaining -= time;
@@ -65,7 +62,7 @@
     assert_eq!(given_up_after(by_chance), Some(ms(1600)));
 }
 
-/// Passed by others only later: it is looked at again before the long time is over.
+/// If others overtake a request after its shorter timeout, that is noticed before the longer one.
 #[test]
 fn passed_over_later() {
     let mut waiting = Pending {
@@ -74,7 +71,7 @@
         ..PENDING
     };
     let Decision::Wait(time) = waiting.decide() else {
-        panic!("nobody has passed it");
+        panic!("it must wait, as none has overtaken it");
     };
     assert!(time <= ms(50), "{time:?}");
     waiting.overtaken = 3;
@@ -91,7 +88,7 @@
     assert_eq!(given_up_after(waiting), None);
 }
 
-/// The machine says itself that work takes three times as long.
+/// The upstream reports that work takes three times as long.
 #[test]
 fn slow_machine() {
     let waiting = Pending {
@@ -102,7 +99,8 @@
     assert_eq!(given_up_after(waiting), Some(ms(3000)));
 }
 
-/// What has made calls, or was sent elsewhere before, is waited for as if nobody had passed it.
+/// A request that has made calls or is a retry gets the longer timeout, as if none had overtaken
+/// it.
 #[test]
 fn lenient() {
     let waiting = Pending {
@@ -113,7 +111,7 @@
     assert_eq!(given_up_after(waiting), Some(ms(1600)));
 }
 
-/// With too little time for another upstream nothing is gained.
+/// There is no use in giving up when the remaining time is too short for another upstream.
 #[test]
 fn no_time_left() {
     let waiting = Pending {
@@ -130,7 +128,7 @@
     assert_eq!(given_up_after(enough), Some(ms(1000)));
 }
 
-/// One in some dozens takes seven times as long as most; none of these has been seen yet.
+/// One request in a few dozen takes seven times as long as most, and no sample shows that yet.
 #[test]
 fn seldom_long_work() {
     let latency = Latency {
@@ -144,11 +142,11 @@
         overtaken: 50,
         ..PENDING
     };
-    let given_up = given_up_after(waiting).expect("it is silent");
+    let given_up = given_up_after(waiting).expect("it must be given up");
     assert!(given_up > ms(370) * 7, "{given_up:?}");
 }
 
-/// A kind that takes 2 ms is not given up in the pauses of a busy machine.
+/// Requests that take 2 ms are not given up during the pauses of a busy machine.
 #[test]
 fn short_kinds() {
     let latency = Latency {
@@ -164,7 +162,7 @@
     assert_eq!(given_up_after(waiting), Some(MIN_TIMEOUT));
 }
 
-/// While one was given up in vain and none has been quick since, the next are waited for longer.
+/// After a request was given up and before a fast response, the next requests wait longer.
 #[test]
 fn in_doubt() {
     let waiting = Pending {
@@ -179,8 +177,8 @@
     assert_eq!(given_up_after(passed), Some(ms(1000)));
 }
 
-/// Where a part of the kind was not answered lately, a late one is given up: sooner if others
-/// have passed it. What has made calls is not.
+/// With a high share of unanswered requests a late one is given up early, and earlier still if
+/// others have overtaken it. One that has made calls is not.
 #[test]
 fn many_silent() {
     let waiting = Pending {
@@ -200,7 +198,7 @@
     assert_eq!(
         given_up_after(in_doubt),
         Some(ms(800)),
-        "it may have become slow"
+        "the upstream may have become slow"
     );
     let running = Pending {
         is_lenient: true,
--- a/crates/mesh/src/gate/upstream/tests.rs
+++ b/crates/mesh/src/gate/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! How far upstreams are filled, and which of their lives gets requests.
+//! Concurrency limits of upstreams, and which incarnation gets requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 const FIRST: u64 = 1_790_000_000_000;
 const SECOND: u64 = FIRST + 60_000;
 
-/// An upstream that is full slows down.
+/// An upstream slows down when all its slots are filled.
 #[test]
 fn nearly_full() {
     let limits: Vec<u32> = [1, 2, 20, 63, 112].into_iter().map(limit).collect();
@@ -24,7 +24,7 @@
 }
 
 fn key(id: &str, started: Option<u64>) -> UpstreamKey {
-    UpstreamKey::new(id, started.map(Timestamp)).expect("a sound id")
+    UpstreamKey::new(id, started.map(Timestamp)).expect("a valid id")
 }
 
 fn heartbeat(upstream: UpstreamKey, sequence: u64) -> Beat {
@@ -53,7 +53,10 @@
     upstream.handle_heartbeat(&heartbeat(key("i-1", Some(SECOND)), 1), now);
     assert_eq!(upstream.ready(now), Some(key("i-1", Some(SECOND))));
     let has_ended = |ended| futures::FutureExt::now_or_never(ended).is_some();
-    assert!(has_ended(first), "who waits for the first is told");
+    assert!(
+        has_ended(first),
+        "waiters on the first incarnation are notified"
+    );
     assert!(!has_ended(upstream.ended()));
 }
 
@@ -69,7 +72,7 @@
     assert_eq!(upstream.ready(now), Some(key("i-2", Some(SECOND))));
 }
 
-/// The clock of the instance went back between two starts.
+/// The clock of the instance went back between two starts of the upstream.
 #[test]
 fn clock_back() {
     let now = Instant::now();
@@ -82,10 +85,10 @@
     upstream.handle_heartbeat(&only_one, now);
     assert_eq!(upstream.ready(now), Some(earlier));
     upstream.handle_heartbeat(&heartbeat(later.clone(), 2), now);
-    assert_eq!(upstream.ready(now), Some(later), "it was only silent");
+    assert_eq!(upstream.ready(now), Some(later), "it had only been silent");
 }
 
-/// An answer names the upstream without its start; its first beat tells the rest.
+/// A response names the upstream without its start time, which the first heartbeat then adds.
 #[test]
 fn named_later() {
     let now = Instant::now();
@@ -108,10 +111,13 @@
     upstream.retire(&key("i-1", Some(FIRST)), "leaving");
     assert_eq!(upstream.ready(now), Some(second.clone()));
     let retired = upstream.retire(&key("i-1", None), "goodbye");
-    assert_eq!(retired, second, "the present one is meant");
+    assert_eq!(retired, second, "it stands for the current incarnation");
     assert_eq!(upstream.ready(now), None);
     upstream.handle_heartbeat(&heartbeat(second, 2), now);
     assert_eq!(upstream.ready(now), None);
     upstream.handle_heartbeat(&heartbeat(key("i-1", Some(SECOND + 1)), 1), now);
-    assert!(upstream.ready(now).is_some(), "the next life has not left");
+    assert!(
+        upstream.ready(now).is_some(),
+        "the next incarnation has not left"
+    );
 }
--- a/crates/mesh/src/key/attempt.rs
+++ b/crates/mesh/src/key/attempt.rs
@@ -1,9 +1,9 @@
-//! Identifies what a client sends.
+//! Identifier of an attempt of a client.
 
 use std::fmt;
 use std::rc::Rc;
 
-/// Identifies one attempt of a client, chosen by the client and opaque here.
+/// Identifies one attempt of a client; chosen by the client and opaque to the mesh.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey(Rc<str>);
 
--- a/crates/mesh/src/key/mod.rs
+++ b/crates/mesh/src/key/mod.rs
@@ -1,4 +1,4 @@
-//! Identifiers that others choose.
+//! Identifiers chosen by clients and upstreams.
 
 mod attempt;
 #[cfg(test)]
--- a/crates/mesh/src/key/tests.rs
+++ b/crates/mesh/src/key/tests.rs
@@ -1,11 +1,11 @@
-//! Lives of upstreams, and how they are written.
+//! Text form and comparison of upstream keys.
 
 use sailtrack_units::Timestamp;
 
 use crate::key::UpstreamKey;
 
 fn key(id: &str, started: Option<u64>) -> UpstreamKey {
-    UpstreamKey::new(id, started.map(Timestamp)).expect("a sound id")
+    UpstreamKey::new(id, started.map(Timestamp)).expect("a valid id")
 }
 
 #[test]
--- a/crates/mesh/src/key/upstream.rs
+++ b/crates/mesh/src/key/upstream.rs
@@ -1,4 +1,4 @@
-//! Identifies one life of an upstream.
+//! Identifier of an incarnation of an upstream.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,33 +7,33 @@
 use displaydoc::Display;
 use sailtrack_units::Timestamp;
 
-/// Stands between the id and the time of the start; no id contains it.
+/// Separates the id from the start time; ids can't contain it.
 const SEPARATOR: char = '/';
 
-/// One life of an upstream: its id and, if it tells that, when it was started.
+/// An incarnation of an upstream: its id and, if it reports one, its start time.
 ///
-/// An upstream may start again under the id that it had. It knows nothing of
-/// before, so what holds for one life must not be taken to hold for the next.
-/// As text it is the id, or the id, a slash and the time.
+/// An upstream may restart under the same id without any state of its previous incarnation, so what
+/// holds for one must not be assumed for the next. The text form is the id alone, or the id, a
+/// slash and the start time in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamKey {
     id: Rc<str>,
     started: Option<Timestamp>,
 }
 
-/// Why a text names no life of an upstream.
+/// Why a text is not a valid key.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum KeyError {
-    /// an id of an upstream must not be empty or contain a slash: {0:?}
+    /// the id of an upstream must not be empty or contain a slash: {0:?}
     Id(String),
-    /// after the slash must stand a whole number of milliseconds: {0:?}
+    /// the start time after the slash must be a whole number of milliseconds: {0:?}
     StartTime(String),
 }
 
 impl std::error::Error for KeyError {}
 
 impl UpstreamKey {
-    /// Returns the key of the life with this id that was started at this time.
+    /// Returns the key of the incarnation with this id and start time.
     pub fn new(id: &str, started: Option<Timestamp>) -> Result<Self, KeyError> {
         if id.is_empty() || id.contains(SEPARATOR) {
             return Err(KeyError::Id(id.to_owned()));
@@ -42,32 +42,33 @@
         Ok(Self { id, started })
     }
 
-    /// Returns the id, which later lives may share.
+    /// Returns the id, which later incarnations may share.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Returns when this life was started, if it tells that.
+    /// Returns the start time, if the upstream reports one.
     #[must_use]
     pub fn started(&self) -> Option<Timestamp> {
         self.started
     }
 
-    /// Returns true if both name the same life, as far as they say.
+    /// Returns true if both may be the same incarnation: the ids are equal, and so are the start
+    /// times if both are known.
     #[must_use]
     pub fn is_same_incarnation(&self, other: &Self) -> bool {
         let is_same_start = match (self.started, other.started) {
-            (Some(one), Some(two)) => one == two,
+            (Some(own), Some(others)) => own == others,
             _ => true,
         };
         self.id == other.id && is_same_start
     }
 
-    /// Returns true if both tell their start and this one is the earlier.
+    /// Returns true if both have a start time and this one is earlier.
     #[must_use]
     pub fn is_older_than(&self, other: &Self) -> bool {
-        matches!((self.started, other.started), (Some(one), Some(two)) if one < two)
+        matches!((self.started, other.started), (Some(own), Some(others)) if own < others)
     }
 }
 
--- a/crates/mesh/src/retired.rs
+++ b/crates/mesh/src/retired.rs
@@ -1,8 +1,8 @@
-//! Upstreams that leave or have left, also on behalf of other nodes.
+//! Upstreams that are leaving or have left, of all nodes.
 //!
-//! A node that restarts must not send new work to an upstream whose leaving
-//! its earlier life acknowledged. The store remembers that, and while it is
-//! away the other nodes do.
+//! A node that restarts must not send new requests to an upstream whose
+//! farewell its previous incarnation acknowledged. The store keeps that
+//! information, and the other nodes do while the store is unavailable.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -11,10 +11,10 @@
 
 use crate::key::UpstreamKey;
 
-/// The most upstreams remembered: 220 replacements a day in a mesh are two days' worth.
+/// The maximum number of entries: two days' worth at 220 replacements a day in a mesh.
 const CAPACITY: usize = 512;
 
-/// Lives of upstreams that leave or have left.
+/// Incarnations of upstreams that are leaving or have left.
 #[derive(Debug, Default)]
 pub(crate) struct Retired {
     by_id: RefCell<HashMap<String, Vec<UpstreamKey>>>,
@@ -26,14 +26,14 @@
 }
 
 impl Retired {
-    /// Remembers a life; returns false if it was known.
+    /// Adds an incarnation; returns false if it was known.
     pub(crate) fn note(&self, upstream: UpstreamKey) -> bool {
         let mut by_id = self.by_id.borrow_mut();
-        let lives = by_id.entry(upstream.id().to_owned()).or_default();
-        if lives.contains(&upstream) {
+        let incarnations = by_id.entry(upstream.id().to_owned()).or_default();
+        if incarnations.contains(&upstream) {
             return false;
         }
-        lives.push(upstream.clone());
+        incarnations.push(upstream.clone());
         drop(by_id);
         self.by_age.borrow_mut().push_back(upstream);
         self.forget_oldest();
@@ -49,23 +49,27 @@
             return;
         };
         let mut by_id = self.by_id.borrow_mut();
-        if let Some(lives) = by_id.get_mut(oldest.id()) {
-            lives.retain(|life| *life != oldest);
-            if lives.is_empty() {
+        if let Some(incarnations) = by_id.get_mut(oldest.id()) {
+            incarnations.retain(|incarnation| *incarnation != oldest);
+            if incarnations.is_empty() {
                 by_id.remove(oldest.id());
             }
         }
     }
 
-    /// Returns true if this life leaves or has left, or may have: one that does not tell its start
-    /// may be any with its id.
+    /// Returns true if this incarnation is leaving or has left, or may have: a key without start
+    /// time matches all incarnations with its id.
     pub(crate) fn contains(&self, upstream: &UpstreamKey) -> bool {
         let by_id = self.by_id.borrow();
-        let lives = by_id.get(upstream.id());
-        lives.is_some_and(|lives| lives.iter().any(|life| life.is_same_incarnation(upstream)))
+        let incarnations = by_id.get(upstream.id());
+        incarnations.is_some_and(|incarnations| {
+            incarnations
+                .iter()
+                .any(|incarnation| incarnation.is_same_incarnation(upstream))
+        })
     }
 
-    /// Returns all of them, the oldest first.
+    /// Returns all entries, the oldest first.
     pub(crate) fn all(&self) -> Vec<UpstreamKey> {
         self.by_age.borrow().iter().cloned().collect()
     }
