--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -1,12 +1,12 @@
-//! The requests that run in the own upstream.
+//! Requests that the local upstream is executing, and the calls made for them.
 //!
-//! The calls that an upstream makes carry nothing that surely names the
-//! request that they are made for. Where the id of a call begins with the id
-//! of a request that runs here at this moment, it is taken for a call of that
-//! request. Importance and pressure depend on it, and on a route that wants a
-//! key, whether it is let in: there it counts as one more request of the
-//! workspace, so that a caller who makes up such an id for a request of its
-//! own gains nothing that its key would not give.
+//! The calls that an upstream makes carry nothing that reliably names the
+//! request they are made for. If the id of a call starts with the id of a
+//! request that runs here at the moment, the call is attributed to that
+//! request. Its importance and the propagation of pressure depend on that. On a
+//! route that requires a key, so does access: the call then counts as another
+//! request of the same workspace, so a caller that forges such an id gains
+//! nothing beyond what its key would permit.
 
 #[cfg(test)]
 pub(crate) mod tests;
@@ -23,37 +23,38 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::work::{Returned, Work};
 
-/// Separates the id of a call from that of the request that it is made for.
+/// Separates the id of the request from the suffix that the call adds.
 const SEPARATOR: char = '.';
 
-/// One request that runs in the own upstream.
+/// A request that the local upstream is executing.
 #[derive(Debug)]
 pub(crate) struct Context {
     pub(crate) identity: Identity,
-    /// How many crashes that followed each other under it were known when it was let in.
+    /// The number of consecutive crashes during this request that were known when it was admitted.
     known_crashes: u8,
     pub(crate) kind: KindName,
-    /// The life of the upstream that runs it.
+    /// The incarnation of the upstream that executes it.
     upstream: UpstreamKey,
     pub(crate) rank: Rank,
     pub(crate) class: Class,
-    /// On whose behalf it is made.
+    /// The workspace on whose behalf it is made.
     pub(crate) workspace: Option<WorkspaceName>,
     /// Whether it was sent to another upstream before.
     pub(crate) repeated: bool,
-    /// The greatest pressure that a call made for it met.
+    /// The highest pressure that a call made for it has met.
     pub(crate) pressure: Cell<Pressure>,
     /// Whether a call was made for it.
     pub(crate) has_made_calls: Cell<bool>,
-    /// How many calls made for it were answered well.
+    /// The number of successful calls made for it.
     pub(crate) successful_calls: Cell<u32>,
-    /// Whether a call made for it failed,
+    /// Whether a call made for it failed.
     pub(crate) failed_below: Cell<bool>,
-    /// and whether one found no upstream of its service, there or further down.
+    /// Whether a call made for it, or one further down the call chain, found no upstream of its
+    /// service.
     pub(crate) absent_below: Cell<bool>,
 }
 
-/// The requests that run in the own upstream.
+/// The requests that the local upstream is executing, by id.
 #[derive(Debug, Default)]
 pub(crate) struct Contexts {
     running: RefCell<HashMap<AttemptKey, Rc<Context>>>,
@@ -64,7 +65,7 @@
 }
 
 impl Contexts {
-    /// Remembers a request until the guard is dropped.
+    /// Adds a request until the returned guard is dropped.
     pub(crate) fn open(self: &Rc<Self>, work: &Work, upstream: &UpstreamKey) -> Open {
         let context = Rc::new(Context {
             identity: work.identity,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Returns the request that a call with this id is made for, if it runs here.
+    /// Returns the request that a call with this id is made for, if it is running here.
     pub(crate) fn parent(&self, call: &AttemptKey) -> Option<Rc<Context>> {
         let running = self.running.borrow();
         let mut id = call.as_str();
@@ -106,21 +107,21 @@
         None
     }
 
-    /// Returns the requests that run in this life of the own upstream.
+    /// Returns the requests that run in this incarnation of the local upstream.
     pub(crate) fn running_in(&self, upstream: &UpstreamKey) -> Vec<Rc<Context>> {
         let running = self.running.borrow();
         let of_life = running.values().filter(|one| one.upstream == *upstream);
         of_life.cloned().collect()
     }
 
-    /// Returns how many requests run in the own upstream.
+    /// Returns the number of requests that run in the local upstream.
     pub(crate) fn len(&self) -> usize {
         self.running.borrow().len()
     }
 }
 
 impl Context {
-    /// Returns what is told of it if the upstream crashes now.
+    /// Returns the evidence about this request if the upstream crashes now.
     pub(crate) fn ran(&self) -> Ran {
         Ran {
             identity: self.identity,
@@ -129,20 +130,21 @@
         }
     }
 
-    /// Returns the class of a call made for the request, whatever that of its route.
+    /// Returns the class of a call made for the request; the importance of the call's route is
+    /// ignored.
     ///
-    /// Only the request counts: where the route of a read matters more, the reads of requests
-    /// that matter less would keep those out that matter as much as that route.
+    /// Otherwise, if the route of a read had a higher importance, the reads of unimportant requests
+    /// would displace requests of the route's own importance.
     pub(crate) fn call_class(&self) -> Class {
         self.class
     }
 
-    /// Returns the place of a call made for the request, whatever that of its route.
+    /// Returns the rank of a call made for the request; that of the call's route is ignored.
     pub(crate) fn call_rank(&self) -> Rank {
         self.rank
     }
 
-    /// Notes what became of a call made for the request.
+    /// Records the result of a call made for the request.
     pub(crate) fn record_result(&self, returned: &Returned) {
         let met = returned.met_pressure();
         self.pressure.set(self.pressure.get().greater(met));
@@ -157,7 +159,7 @@
     }
 }
 
-/// Keeps a request in the table for as long as it lives.
+/// Guard that removes the request when dropped.
 pub(crate) struct Open {
     contexts: Rc<Contexts>,
     key: AttemptKey,
--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -1,4 +1,5 @@
-//! Calls are told by their ids only where that is checked.
+//! Attribution of calls to requests by their ids, and what calls inherit and
+//! report.
 
 use std::rc::Rc;
 
@@ -13,7 +14,7 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::work::{Returned, Work};
 
-/// Returns a request with this id whose time is over at once.
+/// Returns a request with this id whose deadline is now.
 pub(crate) fn work(id: &str) -> Work {
     Work {
         workspace: None,
@@ -34,7 +35,7 @@
     }
 }
 
-/// Returns what that many requests leave that run in a life of the upstream.
+/// Returns the contexts of this many requests in an incarnation of the upstream.
 pub(crate) fn contexts_of(upstream: &UpstreamKey, count: usize) -> Vec<Rc<Context>> {
     let contexts = Rc::new(Contexts::default());
     let opened = (0..count).map(|number| contexts.open(&work(&number.to_string()), upstream));
@@ -49,8 +50,8 @@
     contexts.parent(&AttemptKey::from(id)).is_some()
 }
 
-/// Reads of a request that matters less do not go before requests that matter as much as the route
-/// of the reads.
+/// Reads made for an unimportant request must not overtake requests of the importance of the read's
+/// route.
 #[test]
 fn calls_matter_as_their_request() {
     let contexts = Rc::new(Contexts::default());
@@ -98,7 +99,7 @@
     assert!(!has_parent(&contexts, "a.b"));
 }
 
-/// That a service at the bottom has no upstream is told through all services above it.
+/// A missing upstream at the end of a call chain is reported to all services above.
 #[test]
 fn absence_goes_up() {
     let contexts = Rc::new(Contexts::default());
@@ -117,7 +118,7 @@
     assert!(nobody.found_nobody() && call.found_nobody());
 }
 
-/// A call that was served in the end found somebody.
+/// A request that succeeded in the end has found an upstream.
 #[test]
 fn absence_that_was_mended() {
     let served = Returned {
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -1,8 +1,10 @@
-//! What this node holds against requests under which upstreams ended, and what it tells others.
+//! Evidence against requests during which upstreams crashed, and its exchange
+//! between nodes.
 //!
-//! The node beside an upstream that crashed tells all others what ran there,
-//! before it answers those requests; each node weighs the same evidence by
-//! itself. Nodes that meet tell each other the verdicts that they know.
+//! Before it answers the requests that ran in a crashed upstream, the node next
+//! to that upstream broadcasts their identities to all other nodes. Each node
+//! evaluates the same evidence on its own. Nodes that connect to each other
+//! exchange the verdicts that they know.
 
 mod wire;
 
@@ -21,11 +23,11 @@
 use crate::metrics::Metrics;
 use crate::status::Status;
 
-/// The most requests that a node tells others of after one crash, those first that were there
-/// before: 26 bytes each, so 7 KB to each node, at any number of nodes.
+/// The maximum number of requests reported after a crash; those with the most known crashes take
+/// precedence. At 26 bytes each this is 7 KB per receiving node, whatever the number of nodes.
 const MOST_REPORTED: usize = 256;
 
-/// What this node holds against requests under which upstreams ended.
+/// Evidence of this node against requests during which upstreams crashed.
 pub(crate) struct Quarantine {
     ledger: RefCell<Ledger>,
     status: Rc<Status>,
@@ -47,17 +49,17 @@
         }
     }
 
-    /// Returns what is held against a request.
+    /// Returns whether a request is clear, a suspect, on trial or in quarantine.
     pub(crate) fn standing(&self, identity: &Identity) -> Standing {
         let ledger = self.ledger.borrow();
-        // Nearly always nothing is held against any request, and no clock is read.
+        // Fast path without reading the clock: nearly always there is no evidence at all.
         if ledger.is_empty() {
             return Standing::Clear;
         }
         ledger.standing(identity, clock::now())
     }
 
-    /// Takes in that the own upstream crashed, and tells all other nodes.
+    /// Records a crash of the local upstream and broadcasts the evidence to all other nodes.
     pub(crate) fn record_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
         self.events.note_crash(upstream, ran);
         self.metrics.note_crash();
@@ -77,15 +79,15 @@
             .tell(&Body::Evidence(wire::crash(upstream, &ran, is_whole)));
     }
 
-    /// Takes in that a life of an upstream beside another node ended under requests that this one
-    /// had sent there, since the other node ended as well and could not tell.
+    /// Records and broadcasts a crash of another node's upstream, from the requests that this node
+    /// had sent there: that node has failed as well and can't report the crash.
     pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, ran: &[Ran]) {
         self.take_crash(&upstream.to_string(), ran, false);
         self.status
             .tell(&Body::Evidence(wire::crash(upstream, ran, false)));
     }
 
-    /// Takes in that a request was answered to its end.
+    /// Records that a request was answered completely, which clears it.
     pub(crate) fn record_success(&self, identity: &Identity) {
         let before = self
             .ledger
@@ -97,13 +99,13 @@
         }
     }
 
-    /// Takes in that the own upstream answered a request.
+    /// Records that the local upstream answered a request, without clearing it.
     pub(crate) fn record_answer(&self, identity: &Identity) {
         let mut ledger = self.ledger.borrow_mut();
         ledger.note_familiar(identity, clock::now());
     }
 
-    /// Clears a request on an operator's word; returns true if something was held against it.
+    /// Clears a request on an operator's command; returns true if there was evidence against it.
     pub(crate) fn lift(&self, identity: &Identity) -> bool {
         let was_known = self.ledger.borrow_mut().clear(identity, clock::now());
         self.events.note_cleared(identity, &"an operator lifted it");
@@ -111,7 +113,7 @@
         was_known
     }
 
-    /// Takes in what another node knows.
+    /// Merges evidence from another node.
     pub(crate) fn merge(&self, evidence: &Evidence) {
         let now = clock::now();
         let (crash, cleared, held) = wire::read(evidence);
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Returns what a node that connects is to know, if there is anything.
+    /// Returns the verdicts for a node that connects, or `None` if there are none.
     pub(crate) fn snapshot(&self) -> Option<Body> {
         let records = self.ledger.borrow().to_tell(clock::now());
         (!records.is_empty()).then(|| Body::Evidence(wire::held(&records)))
@@ -141,7 +143,8 @@
         self.ledger.borrow().records(clock::now())
     }
 
-    /// Returns how many requests are suspected, on trial or in quarantine, and in quarantine.
+    /// Returns how many requests are suspected, on trial or in quarantine, and how many of these
+    /// are in quarantine.
     pub(crate) fn counts(&self) -> (usize, usize) {
         let ledger = self.ledger.borrow();
         (ledger.len(), ledger.quarantined(clock::now()))
--- a/crates/mesh/src/quarantine/wire.rs
+++ b/crates/mesh/src/quarantine/wire.rs
@@ -1,4 +1,4 @@
-//! Evidence, as messages between nodes.
+//! Conversion of evidence from and to messages between nodes.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 use crate::key::UpstreamKey;
 
-/// A crash that another node tells of.
+/// A crash that another node reports.
 pub(super) struct ToldCrash {
     pub(super) life: String,
     pub(super) ran: Vec<Ran>,
     pub(super) is_whole: bool,
 }
 
-/// Returns the message that tells of a crash.
+/// Returns a message that reports a crash.
 pub(super) fn crash(upstream: &UpstreamKey, ran: &[Ran], is_whole: bool) -> Evidence {
     let ran = ran.iter().map(|one| RanMessage {
         identity: bytes(&one.identity),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns the message that clears a request.
+/// Returns a message that clears a request.
 pub(super) fn cleared(identity: &Identity) -> Evidence {
     Evidence {
         cleared: vec![bytes(identity)],
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns the message that tells what is held against requests.
+/// Returns a message with the verdicts against requests.
 pub(super) fn held(records: &[Record]) -> Evidence {
     let held = records.iter().map(|record| Held {
         identity: bytes(&record.identity),
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns what a message tells; what is no identity here names no request.
+/// Returns the contents of a message; entries with an invalid identity are skipped.
 pub(super) fn read(evidence: &Evidence) -> (Option<ToldCrash>, Vec<Identity>, Vec<Record>) {
     let ran = evidence.ran.iter().filter_map(|one| {
         Some(Ran {
