--- a/crates/mesh/src/gate/crash.rs
+++ b/crates/mesh/src/gate/crash.rs
@@ -61,12 +61,12 @@
     }
 
     /// Records which requests ran when a connection broke although the upstream accepts new ones.
-    pub(super) fn suspect(&self, upstream: &UpstreamKey, ran: &[Rc<Context>], now: Moment) {
+    pub(super) fn suspect(&self, upstream: &UpstreamKey, running: &[Rc<Context>], now: Moment) {
         let suspicion = self
             .take_suspicion(now)
             .filter(|known| known.is_about(upstream));
         let mut suspicion = suspicion.unwrap_or_else(|| Suspicion::new(upstream.clone(), now));
-        suspicion.add(ran, now);
+        suspicion.add(running, now);
         self.suspicion.replace(Some(suspicion));
     }
 
--- a/crates/mesh/src/gate/kinds.rs
+++ b/crates/mesh/src/gate/kinds.rs
@@ -224,16 +224,16 @@
         let in_flight = self.kind.in_flight.borrow();
         let earlier = in_flight
             .iter()
-            .take_while(|one| !Rc::ptr_eq(one, &self.overtaken));
-        for one in earlier {
-            one.set(one.get().saturating_add(1));
+            .take_while(|counter| !Rc::ptr_eq(counter, &self.overtaken));
+        for counter in earlier {
+            counter.set(counter.get().saturating_add(1));
         }
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        let is_other = |one: &Rc<Cell<u32>>| !Rc::ptr_eq(one, &self.overtaken);
+        let is_other = |counter: &Rc<Cell<u32>>| !Rc::ptr_eq(counter, &self.overtaken);
         self.kind.in_flight.borrow_mut().retain(is_other);
     }
 }
--- a/crates/mesh/src/gate/loss.rs
+++ b/crates/mesh/src/gate/loss.rs
@@ -35,8 +35,8 @@
         if is_down {
             return self.handle_crash(upstream);
         }
-        let ran = self.contexts.running_in(upstream);
-        self.detector.suspect(upstream, &ran, clock::now());
+        let running = self.contexts.running_in(upstream);
+        self.detector.suspect(upstream, &running, clock::now());
         if let Some(guard) = self.detector.begin_watch() {
             self.watch(guard, attempt.clone());
         }
@@ -58,11 +58,11 @@
             return false;
         }
         if self.detector.record_crash(upstream) {
-            let ran = self.in_flight_at_crash(upstream);
+            let running = self.in_flight_at_crash(upstream);
             if !self.upstream.was_replaced(upstream) {
                 self.upstream.record_unreachable(Instant::now());
             }
-            self.quarantine.record_crash(upstream, &ran);
+            self.quarantine.record_crash(upstream, &running);
         }
         true
     }
@@ -70,12 +70,12 @@
     /// Returns the requests that ran when an incarnation of the upstream ended: those in flight,
     /// and those that were lost before the crash was detected.
     fn in_flight_at_crash(&self, upstream: &UpstreamKey) -> Vec<Rc<Context>> {
-        let mut ran = self.contexts.running_in(upstream);
+        let mut running = self.contexts.running_in(upstream);
         let suspicion = self.detector.take_suspicion(clock::now());
         if let Some(suspicion) = suspicion.filter(|suspicion| suspicion.is_about(upstream)) {
-            suspicion.add_to(&mut ran);
+            suspicion.add_to(&mut running);
         }
-        ran
+        running
     }
 
     /// Watches the port in the background after a connection broke, until it is known whether that
--- a/crates/mesh/src/gate/slots.rs
+++ b/crates/mesh/src/gate/slots.rs
@@ -100,54 +100,59 @@
     /// reported in a response.
     ///
     /// It first waits a moment, so that responses written before that one are read as well.
-    pub(super) fn reconcile_soon(self: &Rc<Self>, reported: usize, answered: &Slot, came: Moment) {
+    pub(super) fn reconcile_soon(
+        self: &Rc<Self>,
+        reported: usize,
+        answered: &Slot,
+        received: Moment,
+    ) {
         if self.retained.borrow().is_empty() {
             return;
         }
         let (slots, sequence) = (Rc::clone(self), answered.sequence.get());
         task::spawn("slot reconciliation", async move {
             sleep(LAST_LOOK).await;
-            slots.reconcile(reported, sequence, came);
+            slots.reconcile(reported, sequence, received);
         });
     }
 
     /// Releases retained slots of requests that the upstream no longer has, as reported in the
-    /// response to the request `answered`, received at `came`.
+    /// response to the request `answered`, at `received`.
     ///
     /// The report does not cover requests that the upstream had not read when it wrote the
     /// response. So only slots of requests sent before the answered one are released, and in-flight
     /// requests count towards the reported number only if the upstream must have read them.
-    fn reconcile(&self, reported: usize, answered: u64, came: Moment) {
+    fn reconcile(&self, reported: usize, answered: u64, received: Moment) {
         let is_counted = |(sequence, sent): &(&u64, &Moment)| {
-            **sequence < answered || came.since(**sent) >= READ_DELAY
+            **sequence < answered || received.since(**sent) >= READ_DELAY
         };
         let counted = self.in_flight.borrow().iter().filter(is_counted).count();
-        let there = reported.saturating_sub(counted);
-        let ended = self.take_older(answered, there);
-        log_released(ended.len(), "load", reported, counted);
+        let abandoned = reported.saturating_sub(counted);
+        let released = self.take_older(answered, abandoned);
+        log_released(released.len(), "load", reported, counted);
         // Dropping a permit admits the next waiting request, which may call back into this module.
-        drop(ended);
+        drop(released);
     }
 
-    /// Removes the oldest retained slots of requests sent before `answered`, and leaves `left` of
+    /// Removes the oldest retained slots of requests sent before `answered`, and leaves `remaining` of
     /// them.
-    fn take_older(&self, answered: u64, left: usize) -> VecDeque<Retained> {
+    fn take_older(&self, answered: u64, remaining: usize) -> VecDeque<Retained> {
         let mut retained = self.retained.borrow_mut();
         let earlier = retained
             .iter()
             .filter(|one| one.sequence < answered)
             .count();
-        let mut ending = earlier.saturating_sub(left);
-        if ending == 0 {
+        let mut excess = earlier.saturating_sub(remaining);
+        if excess == 0 {
             return VecDeque::new();
         }
-        let (ended, others) = retained.drain(..).partition(|one| {
-            let ends = ending > 0 && one.sequence < answered;
-            ending -= usize::from(ends);
-            ends
+        let (released, others) = retained.drain(..).partition(|one| {
+            let is_excess = excess > 0 && one.sequence < answered;
+            excess -= usize::from(is_excess);
+            is_excess
         });
         *retained = others;
-        ended
+        released
     }
 
     /// Reserves slots for requests that the upstream reports from an earlier process of this node,
@@ -159,10 +164,10 @@
         reported: usize,
         until: Moment,
     ) {
-        let most = admission.limit(Instant::now()).saturating_sub(1);
-        for _ in 0..reported.min(most) {
-            let left = until.since(clock::now());
-            let Arrival::Admitted(permit) = admission.arrive(Rank::LOWEST, false, left) else {
+        let limit = admission.limit(Instant::now()).saturating_sub(1);
+        for _ in 0..reported.min(limit) {
+            let remaining = until.since(clock::now());
+            let Arrival::Admitted(permit) = admission.arrive(Rank::LOWEST, false, remaining) else {
                 return;
             };
             self.retain(self.sequence(), permit, until);
--- a/crates/mesh/src/gate/slots/tests.rs
+++ b/crates/mesh/src/gate/slots/tests.rs
@@ -205,8 +205,8 @@
         let later = upstream.send(LEFT);
         let number = upstream.answer(answered, 1);
         assert_eq!(upstream.slots.retained(), 1, "the upstream may work on it");
-        let came = clock::now() + READ_DELAY;
-        upstream.slots.reconcile(1, number, came);
+        let received = clock::now() + READ_DELAY;
+        upstream.slots.reconcile(1, number, received);
         assert_eq!(
             upstream.slots.retained(),
             0,
--- a/crates/mesh/src/gate/suspicion.rs
+++ b/crates/mesh/src/gate/suspicion.rs
@@ -46,9 +46,9 @@
     /// Adds the requests that ran when another connection broke.
     pub(super) fn add(&mut self, suspects: &[Rc<Context>], now: Moment) {
         self.last_loss = now;
-        for one in suspects {
+        for context in suspects {
             if self.suspects.len() < MAX_SUSPECTS {
-                push_new(&mut self.suspects, one);
+                push_unique(&mut self.suspects, context);
             }
         }
     }
@@ -76,14 +76,14 @@
 
     /// Adds the suspects to the requests that are in flight, without duplicates.
     pub(super) fn add_to(&self, running: &mut Vec<Rc<Context>>) {
-        for one in &self.suspects {
-            push_new(running, one);
+        for context in &self.suspects {
+            push_unique(running, context);
         }
     }
 }
 
-fn push_new(all: &mut Vec<Rc<Context>>, one: &Rc<Context>) {
-    if !all.iter().any(|known| Rc::ptr_eq(known, one)) {
-        all.push(Rc::clone(one));
+fn push_unique(all: &mut Vec<Rc<Context>>, context: &Rc<Context>) {
+    if !all.iter().any(|known| Rc::ptr_eq(known, context)) {
+        all.push(Rc::clone(context));
     }
 }
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -47,7 +47,7 @@
     pub(super) at: Moment,
     deadline: Moment,
     /// Whether it may be sent again elsewhere if no response comes.
-    is_repeatable: bool,
+    is_idempotent: bool,
     is_retry: bool,
     admitted: &'a Admitted,
 }
@@ -95,7 +95,7 @@
             kind,
             at: now,
             deadline: work.deadline,
-            is_repeatable: work.idempotent,
+            is_idempotent: work.idempotent,
             is_retry: work.repeated,
             admitted,
         }
@@ -115,7 +115,7 @@
         let wait = std::pin::pin!(self.until_given_up(sent, context));
         match select(exchange, wait).await {
             Either::Left((end, _)) => Waited::Finished(end),
-            Either::Right(((), _)) if sent.is_repeatable => Waited::GivenUp,
+            Either::Right(((), _)) if sent.is_idempotent => Waited::GivenUp,
             Either::Right(((), exchange)) => {
                 sent.admitted.slot.abandon(sent.deadline);
                 sent.admitted.is_given_up.set(true);
@@ -147,7 +147,7 @@
     }
 
     fn pending(&self, sent: &Sent<'_>, context: &Context) -> Pending {
-        let remaining = if sent.is_repeatable {
+        let remaining = if sent.is_idempotent {
             sent.deadline.since(clock::now())
         } else {
             Duration::MAX
@@ -190,8 +190,8 @@
     is_given_up: &Cell<bool>,
     mut receiver: oneshot::Receiver<Returned>,
 ) -> Result<Returned, oneshot::Canceled> {
-    let told = clock::until(deadline.before(REPLY_MARGIN), &mut receiver).await;
-    match told {
+    let result = clock::until(deadline.before(REPLY_MARGIN), &mut receiver).await;
+    match result {
         Ok(returned) => returned,
         Err(Late) if is_given_up.get() => Ok(Returned::unknown(sailtrack_wire::Reason::Deadline)),
         Err(Late) => receiver.await,
