--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -20,7 +20,7 @@
 use crate::announcement::error::AnnouncementError;
 use crate::clock;
 use crate::configuration::Current;
-use crate::dialect::{Announcement, Beat, Dialect, Readiness};
+use crate::dialect::{Announcement, Dialect, Heartbeat, Readiness};
 use crate::gate::Upstream;
 use crate::key::UpstreamKey;
 use crate::metrics::Metrics;
@@ -56,7 +56,7 @@
     pub(crate) first_start: bool,
     pub(crate) started: Instant,
     /// Whether a beat of a new life is being looked into.
-    pub(crate) looking: Cell<bool>,
+    pub(crate) is_looking_up: Cell<bool>,
     /// The last life that this process has acknowledged to leave, of each id.
     pub(crate) acknowledged: RefCell<BTreeMap<String, UpstreamKey>>,
 }
@@ -66,9 +66,9 @@
 }
 
 /// The handler of the port.
-pub(crate) struct AnnouncementPort(pub(crate) Rc<Announcements>);
+pub(crate) struct Endpoint(pub(crate) Rc<Announcements>);
 
-impl Handler for AnnouncementPort {
+impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         let announcements = &self.0;
         match announcements.read(&request) {
@@ -83,14 +83,14 @@
     fn read(&self, request: &Request) -> Result<Announcement, AnnouncementError> {
         let announcement = self.dialect.announcement(request);
         let announcement = announcement.map_err(AnnouncementError::Dialect)?;
-        if let Announcement::Beat(beat) = &announcement {
+        if let Announcement::Heartbeat(beat) = &announcement {
             self.check(beat)?;
         }
         Ok(announcement)
     }
 
     /// Refuses what somebody else says in place of the own upstream.
-    fn check(&self, beat: &Beat) -> Result<(), AnnouncementError> {
+    fn check(&self, beat: &Heartbeat) -> Result<(), AnnouncementError> {
         if beat.service != self.service {
             return Err(AnnouncementError::Service {
                 own: self.service.clone(),
@@ -120,11 +120,11 @@
 
     async fn take(self: &Rc<Self>, announcement: Announcement) -> Response {
         let is_safe = match announcement {
-            Announcement::Goodbye(upstream) => self.retire(&upstream, "goodbye").await,
-            Announcement::Beat(beat) if beat.readiness == Readiness::Leaving => {
+            Announcement::Deregistration(upstream) => self.retire(&upstream, "goodbye").await,
+            Announcement::Heartbeat(beat) if beat.readiness == Readiness::Draining => {
                 self.retire(&beat.upstream, "leaving").await
             }
-            Announcement::Beat(beat) => {
+            Announcement::Heartbeat(beat) => {
                 self.take_ready(beat);
                 true
             }
@@ -141,14 +141,14 @@
     /// A life that this process has not seen is believed only once nobody says
     /// that it has left: the beat may be older than what an earlier process of
     /// this node acknowledged.
-    fn take_ready(self: &Rc<Self>, beat: Beat) {
+    fn take_ready(self: &Rc<Self>, beat: Heartbeat) {
         let now = Instant::now();
         // At a first start what left is what this process has heard of itself.
         if self.first_start || !self.upstream.is_new_incarnation(&beat, now) {
             self.upstream.handle_heartbeat(&beat, now);
             return;
         }
-        if self.looking.replace(true) {
+        if self.is_looking_up.replace(true) {
             return;
         }
         let announcements = Rc::clone(self);
@@ -159,7 +159,7 @@
                     .upstream
                     .handle_heartbeat(&beat, Instant::now());
             }
-            announcements.looking.set(false);
+            announcements.is_looking_up.set(false);
         });
     }
 
@@ -174,7 +174,7 @@
     /// Asks the own upstream who it is, so that a node that is back does not wait for a beat.
     ///
     /// An upstream announces itself every 1.5 s, and goes without work until then.
-    pub(crate) async fn ask_upstream(self: Rc<Self>, current: Rc<Current>) {
+    pub(crate) async fn probe_upstream(self: Rc<Self>, current: Rc<Current>) {
         while current.get().is_none() {
             sleep(LOOK).await;
         }
@@ -212,14 +212,14 @@
             return;
         };
         self.upstream.note_first_load(load, clock::now());
-        self.take_ready(Beat {
+        self.take_ready(Heartbeat {
             upstream,
             service: self.service.clone(),
             address: self.address,
             readiness: Readiness::Ready,
             sequence: 0,
             slots: load.slots,
-            cold: Duration::ZERO,
+            warm_up: Duration::ZERO,
         });
     }
 }
--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -17,11 +17,11 @@
 
 use sailtrack_admission::Pressure;
 use sailtrack_kernel::Service;
-use sailtrack_quarantine::{Identity, Ran};
+use sailtrack_quarantine::{Execution, Identity};
 use sailtrack_units::{Class, KindName, Rank, WorkspaceName};
 
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// Separates the id of the request from the suffix that the call adds.
 const SEPARATOR: char = '.';
@@ -66,7 +66,7 @@
 
 impl Contexts {
     /// Adds a request until the returned guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>, work: &Work, upstream: &UpstreamKey) -> Open {
+    pub(crate) fn open(self: &Rc<Self>, work: &Request, upstream: &UpstreamKey) -> Open {
         let context = Rc::new(Context {
             identity: work.identity,
             known_crashes: work.known_crashes,
@@ -75,7 +75,7 @@
             rank: work.rank,
             class: work.class,
             workspace: work.workspace.clone(),
-            repeated: work.repeated,
+            repeated: work.is_retry,
             pressure: Cell::default(),
             has_made_calls: Cell::new(false),
             successful_calls: Cell::new(0),
@@ -122,11 +122,11 @@
 
 impl Context {
     /// Returns the evidence about this request if the upstream crashes now.
-    pub(crate) fn ran(&self) -> Ran {
-        Ran {
+    pub(crate) fn ran(&self) -> Execution {
+        Execution {
             identity: self.identity,
-            known: self.known_crashes,
-            is_familiar: false,
+            known_crashes: self.known_crashes,
+            succeeded_recently: false,
         }
     }
 
@@ -145,15 +145,15 @@
     }
 
     /// Records the result of a call made for the request.
-    pub(crate) fn record_result(&self, returned: &Returned) {
-        let met = returned.met_pressure();
-        self.pressure.set(self.pressure.get().greater(met));
+    pub(crate) fn record_result(&self, returned: &Response) {
+        let met = returned.observed_pressure();
+        self.pressure.set(self.pressure.get().max(met));
         if returned.is_success() {
             self.successful_calls.set(self.successful_calls.get() + 1);
         } else {
             self.failed_below.set(true);
         }
-        if returned.found_nobody() {
+        if returned.found_no_upstream() {
             self.absent_below.set(true);
         }
     }
--- a/crates/mesh/src/freshness/tests.rs
+++ b/crates/mesh/src/freshness/tests.rs
@@ -23,18 +23,18 @@
 /// Returns what a node knows that asked the store at 1 s of its own clock, 51 s of the store's.
 fn known(bound: Option<Duration>) -> Freshness {
     let clock = Rc::new(Clock::default());
-    clock.note(at(1000), at(1000), told(51_000));
+    clock.record(at(1000), at(1000), told(51_000));
     Freshness::new(clock, Rc::new(Metrics::new()), bound)
 }
 
 #[test]
 fn unbounded() {
-    assert!(known(None).is_enough(at(1000)));
+    assert!(known(None).is_fresh(at(1000)));
 }
 
 #[test]
 fn never_confirmed() {
-    assert!(!known(Some(BOUND)).is_enough(at(1000)));
+    assert!(!known(Some(BOUND)).is_fresh(at(1000)));
 }
 
 #[test]
@@ -43,10 +43,10 @@
     let version = ConfigVersion(3);
     assert!(known.confirm(version, told(51_000), version, at(1000)));
     // Nine tenths of the time are used.
-    assert!(known.is_enough(at(5500)));
-    assert!(!known.is_enough(at(6000)));
+    assert!(known.is_fresh(at(5500)));
+    assert!(!known.is_fresh(at(6000)));
     assert!(known.confirm(version, told(54_000), version, at(4000)));
-    assert!(known.is_enough(at(6000)));
+    assert!(known.is_fresh(at(6000)));
 }
 
 /// What another node says late, or had from another one, counts from the time that it is about.
@@ -56,8 +56,8 @@
     let version = ConfigVersion(3);
     known.confirm(version, told(54_000), version, at(4000));
     assert!(!known.confirm(version, told(52_000), version, at(4500)));
-    assert!(known.is_enough(at(8500)));
-    assert!(!known.is_enough(at(9000)));
+    assert!(known.is_fresh(at(8500)));
+    assert!(!known.is_fresh(at(9000)));
 }
 
 /// A version that is not in force here confirms nothing until it is.
@@ -67,9 +67,9 @@
     let (old, new) = (ConfigVersion(3), ConfigVersion(4));
     known.confirm(old, told(51_000), old, at(1000));
     known.confirm(new, told(55_000), old, at(5000));
-    assert!(!known.is_enough(at(6000)));
-    known.note_version(new, at(5500));
-    assert!(known.is_enough(at(6000)));
+    assert!(!known.is_fresh(at(6000)));
+    known.apply_version(new, at(5500));
+    assert!(known.is_fresh(at(6000)));
 }
 
 /// An older version was the newest one then, so what was taken away by then is gone in a later one.
@@ -86,7 +86,7 @@
     let known = known(Some(BOUND));
     let version = ConfigVersion(3);
     assert!(!known.confirm(version, told(90_000), version, at(1500)));
-    assert!(!known.is_enough(at(1500)));
+    assert!(!known.is_fresh(at(1500)));
 }
 
 /// A store that begins anew is believed again.
@@ -95,10 +95,10 @@
     let known = known(Some(BOUND));
     let version = ConfigVersion(3);
     known.confirm(version, told(51_000), version, at(1000));
-    known.clock.note(at(2000), at(2000), told(500));
-    assert!(!known.is_enough(at(2000)));
+    known.clock.record(at(2000), at(2000), told(500));
+    assert!(!known.is_fresh(at(2000)));
     assert!(known.confirm(version, told(500), version, at(2000)));
-    assert!(known.is_enough(at(2000)));
+    assert!(known.is_fresh(at(2000)));
 }
 
 /// Plays a node that follows the store, and one that hears of it from this one alone.
@@ -117,7 +117,7 @@
     let mut is_served = true;
     let mut is_known = false;
     while now < at(80_000) {
-        let answer = calls.ask(&follower.clock, now);
+        let answer = calls.call(&follower.clock, now);
         while now < answer.answered {
             for node in [&follower, &peer].into_iter().filter(|_| is_known) {
                 let as_of = node.as_of().expect("it was told");
@@ -125,19 +125,21 @@
                 if let Some(age) = node.age(now) {
                     young = young.max(true_age.saturating_sub(age));
                 }
-                is_served &= node.is_enough(now);
+                is_served &= node.is_fresh(now);
             }
             now = now + Duration::from_millis(10);
         }
         now = answer.answered;
-        follower.clock.note(answer.asked, now, answer.told);
-        follower.confirm(version, answer.told, version, now);
-        peer.confirm(version, answer.told, version, now);
-        if peer.clock.is_old(now)
-            && let Some(at_most) = follower.clock.told_at_most(now)
+        follower
+            .clock
+            .record(answer.requested, now, answer.reported);
+        follower.confirm(version, answer.reported, version, now);
+        peer.confirm(version, answer.reported, version, now);
+        if peer.clock.is_stale(now)
+            && let Some(at_most) = follower.clock.published_bound(now)
         {
-            peer.clock.note_at_most(now, at_most);
-            peer.confirm(version, answer.told, version, now);
+            peer.clock.record_peer_bound(now, at_most);
+            peer.confirm(version, answer.reported, version, now);
         }
         is_known = true;
     }
@@ -174,8 +176,8 @@
 /// Returns what a node knows at 1 s in the first era, confirmed then.
 fn confirmed() -> Freshness {
     let clock = Rc::new(Clock::default());
-    clock.hear(Era(1), at(900));
-    clock.note(at(1000), at(1000), told(51_000));
+    clock.observe_era(Era(1), at(900));
+    clock.record(at(1000), at(1000), told(51_000));
     let known = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
     assert!(known.confirm(VERSION, told(51_000), VERSION, at(1000)));
     known
@@ -186,23 +188,23 @@
 #[test]
 fn proof_outlasts_copy() {
     let known = confirmed();
-    assert!(known.clock.hear(Era(2), at(3000)));
-    assert!(known.is_enough(at(3000)));
+    assert!(known.clock.observe_era(Era(2), at(3000)));
+    assert!(known.is_fresh(at(3000)));
     assert_eq!(known.as_of(), None, "others are told nothing of it");
-    known.clock.note(at(3100), at(3100), told(500));
-    assert!(known.is_enough(at(5500)));
-    assert!(!known.is_enough(at(6000)));
+    known.clock.record(at(3100), at(3100), told(500));
+    assert!(known.is_fresh(at(5500)));
+    assert!(!known.is_fresh(at(6000)));
 }
 
 /// The copy may lack what others have: for a while nothing proves that the version is the newest.
 #[test]
 fn settles_after_copy() {
     let known = confirmed();
-    known.clock.hear(Era(2), at(3000));
-    known.clock.note(at(3100), at(3100), told(500));
+    known.clock.observe_era(Era(2), at(3000));
+    known.clock.record(at(3100), at(3100), told(500));
     assert!(!known.confirm(VERSION, told(500), VERSION, at(3100)));
     assert!(known.confirm(VERSION, told(1000), VERSION, at(3600)));
-    assert!(known.is_enough(at(7000)));
+    assert!(known.is_fresh(at(7000)));
     assert_eq!(known.as_of(), Some(told(1000)));
 }
 
@@ -210,9 +212,9 @@
 #[test]
 fn others_have_newer() {
     let known = confirmed();
-    known.clock.hear(Era(2), at(3000));
-    known.clock.note(at(4000), at(4000), told(52_000));
-    known.note_newest(ConfigVersion(4));
+    known.clock.observe_era(Era(2), at(3000));
+    known.clock.record(at(4000), at(4000), told(52_000));
+    known.observe_version(ConfigVersion(4));
     assert!(!known.confirm(VERSION, told(52_000), VERSION, at(4000)));
     assert!(known.confirm(ConfigVersion(4), told(52_000), ConfigVersion(4), at(4000)));
 }
@@ -221,21 +223,21 @@
 #[test]
 fn era_without_reading() {
     let known = confirmed();
-    known.clock.hear(Era(2), at(2000));
+    known.clock.observe_era(Era(2), at(2000));
     assert!(!known.confirm(VERSION, told(90_000), VERSION, at(3000)));
-    assert!(known.is_enough(at(5500)));
-    assert!(!known.is_enough(at(6000)));
+    assert!(known.is_fresh(at(5500)));
+    assert!(!known.is_fresh(at(6000)));
 }
 
 #[test]
 fn era_is_over() {
     let known = confirmed();
-    assert!(known.clock.hear(Era(2), at(2000)));
-    assert!(known.clock.hear(Era(3), at(2100)));
-    assert!(!known.clock.hear(Era(2), at(2200)));
-    assert!(!known.clock.hear(Era(1), at(2200)));
-    assert!(known.clock.hear(Era(3), at(2200)));
-    assert!(known.is_enough(at(5500)));
+    assert!(known.clock.observe_era(Era(2), at(2000)));
+    assert!(known.clock.observe_era(Era(3), at(2100)));
+    assert!(!known.clock.observe_era(Era(2), at(2200)));
+    assert!(!known.clock.observe_era(Era(1), at(2200)));
+    assert!(known.clock.observe_era(Era(3), at(2200)));
+    assert!(known.is_fresh(at(5500)));
 }
 
 /// What was said ahead of the version in force goes with its era.
@@ -244,9 +246,9 @@
     let known = confirmed();
     let new = ConfigVersion(4);
     known.confirm(new, told(54_000), VERSION, at(4000));
-    known.clock.hear(Era(2), at(4100));
-    known.clock.note(at(4100), at(4100), told(54_100));
-    known.note_version(new, at(5000));
+    known.clock.observe_era(Era(2), at(4100));
+    known.clock.record(at(4100), at(4100), told(54_100));
+    known.apply_version(new, at(5000));
     assert_eq!(known.as_of(), None);
 }
 
@@ -255,12 +257,12 @@
 #[test]
 fn starts_after_copy() {
     let clock = Rc::new(Clock::default());
-    clock.hear(Era(2), at(900));
-    clock.note(at(1000), at(1000), told(51_000));
+    clock.observe_era(Era(2), at(900));
+    clock.record(at(1000), at(1000), told(51_000));
     let known = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
     assert!(!known.confirm_by_store(told(51_000), VERSION, at(1000)));
     assert!(known.confirm(VERSION, told(50_900), VERSION, at(1000)));
-    known.note_newest(ConfigVersion(4));
+    known.observe_version(ConfigVersion(4));
     assert!(!known.confirm_by_store(told(51_500), VERSION, at(1500)));
     let new = ConfigVersion(4);
     assert!(known.confirm_by_store(told(51_600), new, at(1600)));
--- a/crates/mesh/src/gate/admitted.rs
+++ b/crates/mesh/src/gate/admitted.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use sailtrack_admission::{Met, OutsetPlace, Pressure};
+use sailtrack_admission::{Feedback, Pressure, ThrottlePermit};
 
 use super::lock::Guard;
 use super::slots::Slot;
 use super::upstream::Ended;
 use crate::key::UpstreamKey;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// Resources that a request holds while the local upstream executes it.
 pub(super) struct Admitted {
@@ -19,7 +19,7 @@
     pub(super) ended: Ended,
     pub(super) slot: Slot,
     /// Its place in the admission window of its kind, if it comes directly from a client.
-    pub(super) outset: Option<OutsetPlace>,
+    pub(super) outset: Option<ThrottlePermit>,
     /// Held if the request is a crash suspect on trial.
     #[allow(dead_code, reason = "it is held, not read")]
     pub(super) trial: Option<Guard>,
@@ -28,16 +28,16 @@
 }
 
 impl Admitted {
-    /// Reports the pressure on the local upstream (`here`) and on the upstreams below it to the
+    /// Reports the pressure on the local upstream (`local`) and on the upstreams below it to the
     /// admission window.
-    pub(super) fn record_result(&self, returned: &Returned, here: Pressure) {
+    pub(super) fn record_result(&self, returned: &Response, local: Pressure) {
         if let Some(outset) = &self.outset {
-            let met = Met {
-                here,
-                below: returned.path_pressure,
-                found_nobody: returned.found_nobody(),
+            let met = Feedback {
+                local,
+                callees: returned.path_pressure,
+                no_upstream: returned.found_no_upstream(),
             };
-            outset.note(Instant::now(), met);
+            outset.record(Instant::now(), met);
         }
     }
 }
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -20,7 +20,7 @@
 use crate::dialect::FieldNames;
 use crate::gate::pool::{Connection, Pool};
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::work::Work;
+use crate::request::Request;
 
 /// The maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
@@ -125,7 +125,7 @@
     pool: &Pool,
     fields: &FieldNames,
     upstream: &UpstreamKey,
-    work: &Work,
+    work: &Request,
 ) -> Result<UpstreamAnswer, ExchangeError> {
     let taken = pool.acquire(!work.idempotent).await;
     let mut connection = taken.map_err(ExchangeError::Connect)?;
@@ -210,7 +210,7 @@
     Ok(body.freeze())
 }
 
-fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Work) -> BytesMut {
+fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Request) -> BytesMut {
     let left = work.time_left();
     let added = format!(
         "{}: {}\r\n{}: {}\r\n\r\n",
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -29,7 +29,7 @@
 use std::time::{Duration, Instant};
 
 use futures::channel::oneshot;
-use sailtrack_admission::{Admission, Hold, Outset, OutsetPlace, Pressure};
+use sailtrack_admission::{Admission, Pressure, Rejection, Throttle, ThrottlePermit};
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::task::{self, Held};
@@ -44,8 +44,8 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::metrics::{Metrics, Stage};
 use crate::quarantine::Quarantine;
+use crate::request::{Request, Response};
 use crate::wake::Wake;
-use crate::work::{Returned, Work};
 use admitted::Admitted;
 pub(crate) use builder::Builder;
 use crash::Detector;
@@ -69,7 +69,7 @@
     service: ServiceName,
     upstream: Rc<Upstream>,
     admission: Rc<Admission>,
-    outset: Rc<Outset>,
+    outset: Rc<Throttle>,
     contexts: Rc<Contexts>,
     records: Rc<Records>,
     events: Rc<Events>,
@@ -94,7 +94,7 @@
 impl Gate {
     /// Returns the pressure on the local upstream for the request's class, as far as it is shared
     /// with callers further up the call chain.
-    fn shared_pressure(&self, work: &Work) -> Pressure {
+    fn shared_pressure(&self, work: &Request) -> Pressure {
         self.admission.shared_pressure(Instant::now(), work.class)
     }
 
@@ -102,7 +102,7 @@
     ///
     /// Dropping the future cancels an idempotent request, and any request that has not been sent
     /// yet.
-    pub(crate) async fn run(self: &Rc<Self>, work: Work) -> Returned {
+    pub(crate) async fn run(self: &Rc<Self>, work: Request) -> Response {
         let held = Held::new(&self.in_flight);
         let (attempt, kind) = (work.attempt.clone(), work.kind.clone());
         let class = work.class;
@@ -114,15 +114,15 @@
         }
         self.metrics
             .note_end(Stage::Gate, &kind, returned.outcome, returned.reason);
-        Returned {
+        Response {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
-            path_pressure: returned.path_pressure.greater(pressure),
+            path_pressure: returned.path_pressure.max(pressure),
             ..returned
         }
     }
 
-    async fn admit(self: &Rc<Self>, mut work: Work) -> Returned {
+    async fn admit(self: &Rc<Self>, mut work: Request) -> Response {
         let now = Instant::now();
         if self.upstream.is_closed() {
             return self.refuse(&work, Reason::Draining);
@@ -161,12 +161,12 @@
     /// have changed during the wait.
     async fn acquire_slot(
         &self,
-        work: &mut Work,
-        outset: Option<OutsetPlace>,
-    ) -> Result<Admitted, Returned> {
+        work: &mut Request,
+        outset: Option<ThrottlePermit>,
+    ) -> Result<Admitted, Response> {
         let permit = self
             .admission
-            .enter_as(work.class, work.rank, work.begun, work.time_left())
+            .enter_in_class(work.class, work.rank, work.is_nested, work.time_left())
             .await;
         let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
         let Some(upstream) = self.ready_upstream(work, Instant::now()) else {
@@ -187,9 +187,9 @@
 
     /// Checks the quarantine state again, since it may have changed while the request waited and
     /// the sending node may know less.
-    fn begin_trial(&self, work: &mut Work) -> Result<Option<Guard>, Reason> {
+    fn begin_trial(&self, work: &mut Request) -> Result<Option<Guard>, Reason> {
         let standing = self.quarantine.standing(&work.identity);
-        work.known_crashes = work.known_crashes.max(standing.known());
+        work.known_crashes = work.known_crashes.max(standing.known_crashes());
         match standing {
             Standing::Clear | Standing::Suspected { .. } => Ok(None),
             Standing::OnTrial { .. } => {
@@ -201,7 +201,7 @@
     }
 
     /// Executes an idempotent request, which is cancelled when the caller stops waiting.
-    async fn run_idempotent(self: &Rc<Self>, work: &Work, admitted: Admitted) -> Returned {
+    async fn run_idempotent(self: &Rc<Self>, work: &Request, admitted: Admitted) -> Response {
         let mut returned = self.send(work, &admitted, work.deadline).await;
         admitted.record_result(&returned, self.shared_pressure(work));
         returned.body.hold(admitted);
@@ -209,7 +209,12 @@
     }
 
     /// Executes a non-idempotent request to completion, even if the caller stops waiting.
-    async fn run_once(self: &Rc<Self>, work: Work, admitted: Admitted, entry: Entry) -> Returned {
+    async fn run_once(
+        self: &Rc<Self>,
+        work: Request,
+        admitted: Admitted,
+        entry: Entry,
+    ) -> Response {
         if !entry.start() {
             return self.refuse(&work, Reason::TicketClosed);
         }
@@ -228,7 +233,7 @@
             let _ = sender.send(returned);
         });
         let returned = await_result(deadline, &is_given_up, receiver).await;
-        returned.unwrap_or_else(|_| Returned::unknown(Reason::Cancelled))
+        returned.unwrap_or_else(|_| Response::unknown(Reason::Cancelled))
     }
 
     /// Sets the maximum number of connections that the local upstream accepts.
@@ -272,18 +277,18 @@
     }
 
     /// Returns the result of a request whose caller lost the response.
-    pub(crate) async fn recall(&self, attempt: &AttemptKey) -> Returned {
+    pub(crate) async fn recall(&self, attempt: &AttemptKey) -> Response {
         match self.records.recall(attempt, Instant::now()) {
             Recalled::Ended(returned) => returned,
             Recalled::Running(receiver) => {
                 let returned = receiver.await;
-                returned.unwrap_or_else(|_| Returned::unknown(Reason::Connection))
+                returned.unwrap_or_else(|_| Response::unknown(Reason::Connection))
             }
         }
     }
 
     /// Returns the incarnation of the upstream that may execute the request.
-    fn ready_upstream(&self, work: &Work, now: Instant) -> Option<UpstreamKey> {
+    fn ready_upstream(&self, work: &Request, now: Instant) -> Option<UpstreamKey> {
         if work.service != self.service {
             return None;
         }
@@ -291,10 +296,14 @@
     }
 
     /// Registers a request that comes directly from a client with the admission window of its kind.
-    fn enter_group(&self, work: &Work, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
-        if work.begun {
+    fn enter_group(
+        &self,
+        work: &Request,
+        now: Instant,
+    ) -> Result<Option<ThrottlePermit>, Rejection> {
+        if work.is_nested {
             return Ok(None);
         }
-        self.outset.begin(&work.kind, now).map(Some)
+        self.outset.acquire(&work.kind, now).map(Some)
     }
 }
--- a/crates/mesh/src/gate/records.rs
+++ b/crates/mesh/src/gate/records.rs
@@ -17,7 +17,7 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use crate::key::AttemptKey;
-use crate::work::Returned;
+use crate::request::Response;
 
 /// How long a record is kept: no client waits longer than this.
 const RETENTION: Duration = Duration::from_mins(1);
@@ -32,9 +32,9 @@
     /// It waits for admission and has not been sent.
     Waiting,
     /// It was sent to the upstream; the senders notify those who wait for the result.
-    Running(Vec<oneshot::Sender<Returned>>),
+    Running(Vec<oneshot::Sender<Response>>),
     /// It ran or may have run, with the response if that is still kept.
-    Ended(Option<Box<Returned>>),
+    Ended(Option<Box<Response>>),
     /// It never ran and never will.
     Refused,
 }
@@ -42,9 +42,9 @@
 /// The result of a recall.
 pub(crate) enum Recalled {
     /// The request has ended.
-    Ended(Returned),
+    Ended(Response),
     /// The request is running; the receiver yields its result.
-    Running(oneshot::Receiver<Returned>),
+    Running(oneshot::Receiver<Response>),
 }
 
 /// Execution records of non-idempotent requests.
@@ -83,7 +83,7 @@
         let Some(record) = records.get_mut(attempt) else {
             records.insert(attempt.clone(), Record::Refused);
             self.by_age.borrow_mut().push_back((now, attempt.clone()));
-            return Recalled::Ended(Returned::refused(Reason::Connection));
+            return Recalled::Ended(Response::refused(Reason::Connection));
         };
         match record {
             Record::Running(waiting) => {
@@ -92,13 +92,13 @@
                 Recalled::Running(receiver)
             }
             Record::Ended(Some(answer)) => {
-                let unknown = || Returned::unknown(Reason::Connection);
-                Recalled::Ended(answer.copy().unwrap_or_else(unknown))
+                let unknown = || Response::unknown(Reason::Connection);
+                Recalled::Ended(answer.try_clone().unwrap_or_else(unknown))
             }
-            Record::Ended(None) => Recalled::Ended(Returned::unknown(Reason::Connection)),
+            Record::Ended(None) => Recalled::Ended(Response::unknown(Reason::Connection)),
             Record::Waiting | Record::Refused => {
                 *record = Record::Refused;
-                Recalled::Ended(Returned::refused(Reason::Connection))
+                Recalled::Ended(Response::refused(Reason::Connection))
             }
         }
     }
@@ -117,10 +117,10 @@
     fn record_end(
         &self,
         attempt: &AttemptKey,
-        returned: &Returned,
+        returned: &Response,
         now: Instant,
     ) -> Option<Record> {
-        let copy = returned.copy();
+        let copy = returned.try_clone();
         if copy.is_some() {
             self.retain_answer(attempt, returned, now);
         }
@@ -128,7 +128,7 @@
         self.by_attempt.borrow_mut().insert(attempt.clone(), ended)
     }
 
-    fn retain_answer(&self, attempt: &AttemptKey, answer: &Returned, now: Instant) {
+    fn retain_answer(&self, attempt: &AttemptKey, answer: &Response, now: Instant) {
         let size = answer.head.len() + answer.body.whole().map_or(0, Bytes::len);
         self.answers
             .borrow_mut()
@@ -189,7 +189,7 @@
     ///
     /// If the upstream rejected the request, the record is removed so that the caller may retry,
     /// also on this node. If the caller recalls the request instead, it is refused for good.
-    pub(crate) fn finish(self, returned: &Returned, now: Instant) {
+    pub(crate) fn finish(self, returned: &Response, now: Instant) {
         let ended = if returned.outcome == Outcome::NotRun {
             self.records.remove(&self.attempt)
         } else {
@@ -199,9 +199,9 @@
             return;
         };
         for sender in waiting {
-            let unknown = || Returned::unknown(Reason::AnswerTooLarge);
+            let unknown = || Response::unknown(Reason::AnswerTooLarge);
             // The receiver may have been dropped.
-            let _ = sender.send(returned.copy().unwrap_or_else(unknown));
+            let _ = sender.send(returned.try_clone().unwrap_or_else(unknown));
         }
     }
 }
--- a/crates/mesh/src/gate/records/tests.rs
+++ b/crates/mesh/src/gate/records/tests.rs
@@ -9,13 +9,13 @@
 use crate::body::Body;
 use crate::gate::records::{Recalled, Records};
 use crate::key::AttemptKey;
-use crate::work::Returned;
+use crate::request::Response;
 
-fn text(returned: &Returned) -> &[u8] {
+fn text(returned: &Response) -> &[u8] {
     returned.body.whole().expect("a buffered body")
 }
 
-fn recall(records: &Records, key: &AttemptKey, now: Instant) -> Returned {
+fn recall(records: &Records, key: &AttemptKey, now: Instant) -> Response {
     match records.recall(key, now) {
         Recalled::Ended(returned) => returned,
         Recalled::Running(_) => panic!("the request is still running"),
@@ -63,7 +63,7 @@
     let Recalled::Running(mut receiver) = records.recall(&key, now) else {
         panic!("the request is still running");
     };
-    let answer = Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
+    let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
     entry.finish(&answer, now);
     let told = receiver
         .try_recv()
@@ -83,7 +83,7 @@
     let entry = records.begin(&key, now).expect("a new request");
     entry.start();
     entry.finish(
-        &Returned::answered(200, Bytes::new(), Body::Whole(Bytes::from("done"))),
+        &Response::answered(200, Bytes::new(), Body::Whole(Bytes::from("done"))),
         now,
     );
     let later = now + Duration::from_secs(10);
@@ -121,7 +121,7 @@
         .begin(&key, now)
         .expect("the unsent request left no record");
     assert!(entry.start());
-    entry.finish(&Returned::turned_away(Reason::UpstreamShed), now);
+    entry.finish(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
     let entry = records
         .begin(&key, now)
         .expect("the rejected request left no record");
@@ -137,7 +137,7 @@
     );
     let entry = records.begin(&key, now).expect("a new request");
     entry.start();
-    entry.finish(&Returned::turned_away(Reason::UpstreamShed), now);
+    entry.finish(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
     assert!(
         records.begin(&key, now).is_none(),
--- a/crates/mesh/src/gate/slots.rs
+++ b/crates/mesh/src/gate/slots.rs
@@ -16,7 +16,7 @@
 use futures::StreamExt as _;
 use futures::channel::mpsc;
 use monoio::time::sleep;
-use sailtrack_admission::{Admission, Arrival, Permit};
+use sailtrack_admission::{Admission, Decision, Permit};
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::task;
 use sailtrack_units::{Moment, Rank};
@@ -167,7 +167,8 @@
         let limit = admission.limit(Instant::now()).saturating_sub(1);
         for _ in 0..reported.min(limit) {
             let remaining = until.since(clock::now());
-            let Arrival::Admitted(permit) = admission.arrive(Rank::LOWEST, false, remaining) else {
+            let Decision::Admitted(permit) = admission.submit(Rank::LOWEST, false, remaining)
+            else {
                 return;
             };
             self.retain(self.sequence(), permit, until);
--- a/crates/mesh/src/gate/upstream.rs
+++ b/crates/mesh/src/gate/upstream.rs
@@ -17,7 +17,7 @@
 use sailtrack_units::Moment;
 
 use crate::clock;
-use crate::dialect::{Beat, Load, Readiness};
+use crate::dialect::{Heartbeat, Load, Readiness};
 use crate::gate::report::Report;
 use crate::key::UpstreamKey;
 use crate::retired::Retired;
@@ -55,12 +55,12 @@
 
 impl Incarnation {
     /// Returns true if a heartbeat comes from this incarnation, as far as its key tells.
-    fn is_sender_of(&self, heartbeat: &Beat) -> bool {
+    fn is_sender_of(&self, heartbeat: &Heartbeat) -> bool {
         self.key.is_same_incarnation(&heartbeat.upstream)
     }
 
     /// Returns true if a heartbeat comes from an earlier incarnation and must be ignored.
-    fn supersedes(&self, heartbeat: &Beat, now: Instant) -> bool {
+    fn supersedes(&self, heartbeat: &Heartbeat, now: Instant) -> bool {
         let silence = now.saturating_duration_since(self.last_heartbeat);
         heartbeat.upstream.is_older_than(&self.key) && silence < MAX_SILENCE
     }
@@ -195,7 +195,7 @@
     }
 
     /// Returns true if a heartbeat announces an incarnation that is ready and not the current one.
-    pub(crate) fn is_new_incarnation(&self, heartbeat: &Beat, now: Instant) -> bool {
+    pub(crate) fn is_new_incarnation(&self, heartbeat: &Heartbeat, now: Instant) -> bool {
         let known = self.current.borrow();
         let is_known = known.as_ref().is_some_and(|current| {
             current.is_sender_of(heartbeat) || current.supersedes(heartbeat, now)
@@ -207,7 +207,7 @@
 
     /// Handles a heartbeat of an incarnation that is ready. Late ones and those of retired
     /// incarnations are ignored.
-    pub(crate) fn handle_heartbeat(&self, heartbeat: &Beat, now: Instant) {
+    pub(crate) fn handle_heartbeat(&self, heartbeat: &Heartbeat, now: Instant) {
         if self.retired.contains(&heartbeat.upstream) {
             return;
         }
@@ -228,7 +228,7 @@
         }
     }
 
-    fn update(&self, heartbeat: &Beat, now: Instant) {
+    fn update(&self, heartbeat: &Heartbeat, now: Instant) {
         let mut current = self.current.borrow_mut();
         let Some(current) = current.as_mut() else {
             return;
@@ -242,7 +242,7 @@
         current.key = heartbeat.upstream.clone();
         current.sequence = heartbeat.sequence;
         current.last_heartbeat = now;
-        current.cold_until = clock::now() + heartbeat.cold;
+        current.cold_until = clock::now() + heartbeat.warm_up;
         self.unreachable_until.set(None);
         if current.slots != heartbeat.slots {
             current.slots = heartbeat.slots;
@@ -251,13 +251,13 @@
         }
     }
 
-    fn record_start(&self, heartbeat: &Beat) {
+    fn record_start(&self, heartbeat: &Heartbeat) {
         if heartbeat.upstream.started().is_some() {
             self.reports_start.set(true);
         }
     }
 
-    fn start_incarnation(&self, heartbeat: &Beat, now: Instant) {
+    fn start_incarnation(&self, heartbeat: &Heartbeat, now: Instant) {
         emit(
             &catalogue::UPSTREAM_ANNOUNCED,
             &[
@@ -278,7 +278,7 @@
             slots: heartbeat.slots,
             sequence: heartbeat.sequence,
             last_heartbeat: now,
-            cold_until: clock::now() + heartbeat.cold,
+            cold_until: clock::now() + heartbeat.warm_up,
         });
         for on_new in self.on_new.borrow().iter() {
             on_new();
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -18,7 +18,7 @@
 use crate::contexts::Context;
 use crate::events::Silence;
 use crate::key::AttemptKey;
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// The maximum time between two checks.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -68,7 +68,7 @@
     }
 
     /// Records the latency of a successful response.
-    pub(super) fn record_answer(&self, returned: &Returned, slowdown: f64) {
+    pub(super) fn record_answer(&self, returned: &Response, slowdown: f64) {
         if returned.is_success() {
             self.in_flight.record_answer(slowdown, Instant::now());
             self.kind.record_outcome(false, Instant::now());
@@ -78,7 +78,7 @@
 
 impl Gate {
     /// Starts tracking a request that is sent now.
-    pub(super) fn track<'a>(&self, work: &'a Work, admitted: &'a Admitted) -> Sent<'a> {
+    pub(super) fn track<'a>(&self, work: &'a Request, admitted: &'a Admitted) -> Sent<'a> {
         let kind = self.kinds.get(&work.kind);
         let latency = kind.latency();
         let slowdown = self.upstream.report.slowdown();
@@ -96,7 +96,7 @@
             at: now,
             deadline: work.deadline,
             is_idempotent: work.idempotent,
-            is_retry: work.repeated,
+            is_retry: work.is_retry,
             admitted,
         }
     }
@@ -188,12 +188,12 @@
 pub(super) async fn await_result(
     deadline: Moment,
     is_given_up: &Cell<bool>,
-    mut receiver: oneshot::Receiver<Returned>,
-) -> Result<Returned, oneshot::Canceled> {
+    mut receiver: oneshot::Receiver<Response>,
+) -> Result<Response, oneshot::Canceled> {
     let result = clock::until(deadline.before(REPLY_MARGIN), &mut receiver).await;
     match result {
         Ok(returned) => returned,
-        Err(Late) if is_given_up.get() => Ok(Returned::unknown(sailtrack_wire::Reason::Deadline)),
+        Err(Late) if is_given_up.get() => Ok(Response::unknown(sailtrack_wire::Reason::Deadline)),
         Err(Late) => receiver.await,
     }
 }
