--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -211,7 +211,7 @@
             // It leaves, or does not say enough; its beats decide.
             return;
         };
-        self.upstream.note_first_load(load, clock::now());
+        self.upstream.record_initial_load(load, clock::now());
         self.take_ready(Heartbeat {
             upstream,
             service: self.service.clone(),
--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -40,7 +40,7 @@
     /// The workspace on whose behalf it is made.
     pub(crate) workspace: Option<WorkspaceName>,
     /// Whether it was sent to another upstream before.
-    pub(crate) repeated: bool,
+    pub(crate) is_retry: bool,
     /// The highest pressure that a call made for it has met.
     pub(crate) pressure: Cell<Pressure>,
     /// Whether a call was made for it.
@@ -75,7 +75,7 @@
             rank: work.rank,
             class: work.class,
             workspace: work.workspace.clone(),
-            repeated: work.is_retry,
+            is_retry: work.is_retry,
             pressure: Cell::default(),
             has_made_calls: Cell::new(false),
             successful_calls: Cell::new(0),
--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -79,7 +79,7 @@
     let parent = contexts
         .parent(&AttemptKey::from("a.b.c"))
         .expect("its parent runs");
-    assert!(parent.repeated && parent.rank == Rank::HIGHEST);
+    assert!(parent.is_retry && parent.rank == Rank::HIGHEST);
     assert!(has_parent(&contexts, "a.b.c.d"));
     for other in ["a.b", "a.bc", "a.bc.d", "a.c", "x.a.b.c", "", "."] {
         assert!(!has_parent(&contexts, other), "{other}");
--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -157,7 +157,7 @@
             workspace,
             completed_calls: parent.map_or(0, |parent| parent.successful_calls.get()),
             is_nested: parent.is_some(),
-            is_retry: parent.is_some_and(|parent| parent.repeated),
+            is_retry: parent.is_some_and(|parent| parent.is_retry),
             deadline: self.deadline,
             head: self.passed_on(fields, caller, body.len()),
             body,
--- a/crates/mesh/src/gate/upstream.rs
+++ b/crates/mesh/src/gate/upstream.rs
@@ -156,7 +156,7 @@
     }
 
     /// Records the load of an upstream to which this process has not sent anything yet.
-    pub(crate) fn note_first_load(&self, load: Load, now: Moment) {
+    pub(crate) fn record_initial_load(&self, load: Load, now: Moment) {
         if self.is_unknown() {
             self.initial_load.set(Some((load, now)));
         }
