--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -66,27 +66,27 @@
 
 impl Contexts {
     /// Adds a request until the returned guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>, work: &Request, upstream: &UpstreamKey) -> Open {
+    pub(crate) fn open(self: &Rc<Self>, request: &Request, upstream: &UpstreamKey) -> Guard {
         let context = Rc::new(Context {
-            identity: work.identity,
-            known_crashes: work.known_crashes,
-            kind: work.kind.clone(),
+            identity: request.identity,
+            known_crashes: request.known_crashes,
+            kind: request.kind.clone(),
             upstream: upstream.clone(),
-            rank: work.rank,
-            class: work.class,
-            workspace: work.workspace.clone(),
-            is_retry: work.is_retry,
+            rank: request.rank,
+            class: request.class,
+            workspace: request.workspace.clone(),
+            is_retry: request.is_retry,
             pressure: Cell::default(),
             has_made_calls: Cell::new(false),
             successful_calls: Cell::new(0),
             failed_below: Cell::new(false),
             absent_below: Cell::new(false),
         });
-        let key = work.attempt.clone();
+        let key = request.attempt.clone();
         let mut running = self.running.borrow_mut();
         running.insert(key.clone(), Rc::clone(&context));
         drop(running);
-        Open {
+        Guard {
             contexts: Rc::clone(self),
             key,
             context,
@@ -110,8 +110,10 @@
     /// Returns the requests that run in this incarnation of the local upstream.
     pub(crate) fn running_in(&self, upstream: &UpstreamKey) -> Vec<Rc<Context>> {
         let running = self.running.borrow();
-        let of_life = running.values().filter(|one| one.upstream == *upstream);
-        of_life.cloned().collect()
+        let of_incarnation = running
+            .values()
+            .filter(|context| context.upstream == *upstream);
+        of_incarnation.cloned().collect()
     }
 
     /// Returns the number of requests that run in the local upstream.
@@ -122,7 +124,7 @@
 
 impl Context {
     /// Returns the evidence about this request if the upstream crashes now.
-    pub(crate) fn ran(&self) -> Execution {
+    pub(crate) fn execution(&self) -> Execution {
         Execution {
             identity: self.identity,
             known_crashes: self.known_crashes,
@@ -145,32 +147,32 @@
     }
 
     /// Records the result of a call made for the request.
-    pub(crate) fn record_result(&self, returned: &Response) {
-        let met = returned.observed_pressure();
-        self.pressure.set(self.pressure.get().max(met));
-        if returned.is_success() {
+    pub(crate) fn record_result(&self, response: &Response) {
+        let pressure = response.observed_pressure();
+        self.pressure.set(self.pressure.get().max(pressure));
+        if response.is_success() {
             self.successful_calls.set(self.successful_calls.get() + 1);
         } else {
             self.failed_below.set(true);
         }
-        if returned.found_no_upstream() {
+        if response.found_no_upstream() {
             self.absent_below.set(true);
         }
     }
 }
 
 /// Guard that removes the request when dropped.
-pub(crate) struct Open {
+pub(crate) struct Guard {
     contexts: Rc<Contexts>,
     key: AttemptKey,
     pub(crate) context: Rc<Context>,
 }
 
-impl Drop for Open {
+impl Drop for Guard {
     fn drop(&mut self) {
         let mut running = self.contexts.running.borrow_mut();
-        let is_own = |known: &Rc<Context>| Rc::ptr_eq(known, &self.context);
-        if running.get(&self.key).is_some_and(is_own) {
+        let is_same = |known: &Rc<Context>| Rc::ptr_eq(known, &self.context);
+        if running.get(&self.key).is_some_and(is_same) {
             running.remove(&self.key);
         }
     }
--- a/crates/mesh/src/gate/admitted.rs
+++ b/crates/mesh/src/gate/admitted.rs
@@ -18,8 +18,8 @@
     /// Resolves when this incarnation of the upstream has ended.
     pub(super) ended: Ended,
     pub(super) slot: Slot,
-    /// Its place in the admission window of its kind, if it comes directly from a client.
-    pub(super) outset: Option<ThrottlePermit>,
+    /// Its throttle permit, if it comes directly from a client.
+    pub(super) throttle_permit: Option<ThrottlePermit>,
     /// Held if the request is a crash suspect on trial.
     #[allow(dead_code, reason = "it is held, not read")]
     pub(super) trial: Option<Guard>,
@@ -28,16 +28,16 @@
 }
 
 impl Admitted {
-    /// Reports the pressure on the local upstream (`local`) and on the upstreams below it to the
-    /// admission window.
-    pub(super) fn record_result(&self, returned: &Response, local: Pressure) {
-        if let Some(outset) = &self.outset {
-            let met = Feedback {
+    /// Reports the pressure on the local upstream (`local`) and on the upstreams that it called to
+    /// the throttle.
+    pub(super) fn record_result(&self, response: &Response, local: Pressure) {
+        if let Some(throttle_permit) = &self.throttle_permit {
+            let feedback = Feedback {
                 local,
-                callees: returned.path_pressure,
-                no_upstream: returned.found_no_upstream(),
+                callees: response.path_pressure,
+                no_upstream: response.found_no_upstream(),
             };
-            outset.record(Instant::now(), met);
+            throttle_permit.record(Instant::now(), feedback);
         }
     }
 }
--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -44,7 +44,7 @@
             service,
             upstream,
             admission: Rc::new(Admission::new(rules, Instant::now())),
-            outset: Throttle::new(Rc::default()),
+            throttle: Throttle::new(Rc::default()),
             contexts: Rc::default(),
             records: Rc::default(),
             events: Rc::default(),
@@ -71,7 +71,7 @@
     /// Sets the admission control of the local upstream.
     pub(crate) fn admission(mut self, admission: Rc<Admission>, windows: Rc<Windows>) -> Self {
         self.gate.admission = admission;
-        self.gate.outset = Throttle::new(windows);
+        self.gate.throttle = Throttle::new(windows);
         self
     }
 
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -89,7 +89,7 @@
 }
 
 /// A response of the upstream.
-pub(super) struct UpstreamAnswer {
+pub(super) struct UpstreamResponse {
     pub(super) head: ResponseHead,
     pub(super) body: Body,
 }
@@ -125,22 +125,22 @@
     pool: &Pool,
     fields: &FieldNames,
     upstream: &UpstreamKey,
-    work: &Request,
-) -> Result<UpstreamAnswer, ExchangeError> {
-    let taken = pool.acquire(!work.idempotent).await;
-    let mut connection = taken.map_err(ExchangeError::Connect)?;
+    request: &Request,
+) -> Result<UpstreamResponse, ExchangeError> {
+    let acquired = pool.acquire(!request.idempotent).await;
+    let mut connection = acquired.map_err(ExchangeError::Connect)?;
     // The node may have been suspended since the request was admitted, and the caller may have been
     // told that its time is over.
-    if work.time_left().is_zero() {
+    if request.time_left().is_zero() {
         return Err(ExchangeError::Late);
     }
-    let request = request_bytes(fields, upstream, work);
-    let (first_head, was_sent) = send(&mut connection, request).await?;
-    let is_head_request = work.head.starts_with(b"HEAD ");
+    let bytes = request_bytes(fields, upstream, request);
+    let (first_head, was_sent) = send(&mut connection, bytes).await?;
+    let is_head_request = request.head.starts_with(b"HEAD ");
     let matched = read_matching_head(
         &mut connection,
         fields,
-        &work.attempt,
+        &request.attempt,
         first_head,
         is_head_request,
     )
@@ -156,7 +156,7 @@
             pool.release(connection, &head);
         }
         let body = Body::Whole(prefix);
-        return Ok(UpstreamAnswer { head, body });
+        return Ok(UpstreamResponse { head, body });
     }
     let length = match framing {
         Framing::Length(length) => Some(length),
@@ -168,17 +168,17 @@
         rest,
     };
     let body = Body::Stream(Stream::new(length, Box::new(source)));
-    Ok(UpstreamAnswer { head, body })
+    Ok(UpstreamResponse { head, body })
 }
 
 /// Sends a request and returns the first response head, and whether the request was completely
 /// written by then: an upstream may respond and close before it has read a whole request.
 async fn send(
     connection: &mut Connection,
-    request: BytesMut,
+    bytes: BytesMut,
 ) -> Result<(Bytes, bool), ExchangeError> {
     let Connection { reader, writer, .. } = connection;
-    let writing = std::pin::pin!(writer.write_all(request));
+    let writing = std::pin::pin!(writer.write_all(bytes));
     let reading = std::pin::pin!(reader.response_head(MAX_HEAD_BYTES));
     let (head, was_sent) = match select(writing, reading).await {
         Either::Left(((written, _), reading)) => {
@@ -210,19 +210,19 @@
     Ok(body.freeze())
 }
 
-fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Request) -> BytesMut {
-    let left = work.time_left();
+fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, request: &Request) -> BytesMut {
+    let time_left = request.time_left();
     let added = format!(
         "{}: {}\r\n{}: {}\r\n\r\n",
         fields.time_left_ms,
-        left.as_millis(),
+        time_left.as_millis(),
         fields.expected_upstream,
         upstream.id(),
     );
-    let mut bytes = BytesMut::with_capacity(work.head.len() + added.len() + work.body.len());
-    bytes.extend_from_slice(&work.head);
+    let mut bytes = BytesMut::with_capacity(request.head.len() + added.len() + request.body.len());
+    bytes.extend_from_slice(&request.head);
     bytes.extend_from_slice(added.as_bytes());
-    bytes.extend_from_slice(&work.body);
+    bytes.extend_from_slice(&request.body);
     bytes
 }
 
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -69,7 +69,7 @@
     service: ServiceName,
     upstream: Rc<Upstream>,
     admission: Rc<Admission>,
-    outset: Rc<Throttle>,
+    throttle: Rc<Throttle>,
     contexts: Rc<Contexts>,
     records: Rc<Records>,
     events: Rc<Events>,
@@ -94,66 +94,67 @@
 impl Gate {
     /// Returns the pressure on the local upstream for the request's class, as far as it is shared
     /// with callers further up the call chain.
-    fn shared_pressure(&self, work: &Request) -> Pressure {
-        self.admission.shared_pressure(Instant::now(), work.class)
+    fn shared_pressure(&self, request: &Request) -> Pressure {
+        self.admission
+            .shared_pressure(Instant::now(), request.class)
     }
 
     /// Executes a request on the local upstream and returns the result.
     ///
     /// Dropping the future cancels an idempotent request, and any request that has not been sent
     /// yet.
-    pub(crate) async fn run(self: &Rc<Self>, work: Request) -> Response {
-        let held = Held::new(&self.in_flight);
-        let (attempt, kind) = (work.attempt.clone(), work.kind.clone());
-        let class = work.class;
-        let mut returned = self.admit(work).await;
-        returned.body.hold(held);
+    pub(crate) async fn run(self: &Rc<Self>, request: Request) -> Response {
+        let in_flight_guard = Held::new(&self.in_flight);
+        let (attempt, kind) = (request.attempt.clone(), request.kind.clone());
+        let class = request.class;
+        let mut response = self.admit(request).await;
+        response.body.hold(in_flight_guard);
         let pressure = self.admission.pressure(Instant::now(), class);
-        if returned.outcome == Outcome::Unknown {
-            self.events.note_unknown(&attempt, &kind, returned.reason);
+        if response.outcome == Outcome::Unknown {
+            self.events.note_unknown(&attempt, &kind, response.reason);
         }
         self.metrics
-            .note_end(Stage::Gate, &kind, returned.outcome, returned.reason);
+            .note_end(Stage::Gate, &kind, response.outcome, response.reason);
         Response {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
-            path_pressure: returned.path_pressure.max(pressure),
-            ..returned
+            path_pressure: response.path_pressure.max(pressure),
+            ..response
         }
     }
 
-    async fn admit(self: &Rc<Self>, mut work: Request) -> Response {
+    async fn admit(self: &Rc<Self>, mut request: Request) -> Response {
         let now = Instant::now();
         if self.upstream.is_closed() {
-            return self.refuse(&work, Reason::Draining);
+            return self.refuse(&request, Reason::Draining);
         }
         self.wake.news().await;
         // The sending node may not have received the evidence that this node has.
-        if self.quarantine.standing(&work.identity).is_quarantined() {
-            return self.refuse(&work, Reason::Quarantined);
+        if self.quarantine.standing(&request.identity).is_quarantined() {
+            return self.refuse(&request, Reason::Quarantined);
         }
-        let Some(_) = self.ready_upstream(&work, now) else {
-            return self.refuse(&work, Reason::NoUpstream);
+        let Some(_) = self.ready_upstream(&request, now) else {
+            return self.refuse(&request, Reason::NoUpstream);
         };
-        let entry = if work.idempotent {
+        let entry = if request.idempotent {
             None
         } else {
-            match self.records.begin(&work.attempt, now) {
+            match self.records.begin(&request.attempt, now) {
                 Some(entry) => Some(entry),
-                None => return self.recall(&work.attempt).await,
+                None => return self.recall(&request.attempt).await,
             }
         };
-        let outset = match self.enter_group(&work, now) {
-            Ok(outset) => outset,
-            Err(hold) => return self.refuse_held(&work, hold),
+        let throttle_permit = match self.acquire_throttle_permit(&request, now) {
+            Ok(throttle_permit) => throttle_permit,
+            Err(rejection) => return self.refuse_throttled(&request, rejection),
         };
-        let admitted = match self.acquire_slot(&mut work, outset).await {
+        let admitted = match self.acquire_slot(&mut request, throttle_permit).await {
             Ok(admitted) => admitted,
             Err(refused) => return refused,
         };
         match entry {
-            None => self.run_idempotent(&work, admitted).await,
-            Some(entry) => self.run_once(work, admitted, entry).await,
+            None => self.run_idempotent(&request, admitted).await,
+            Some(entry) => self.run_once(request, admitted, entry).await,
         }
     }
 
@@ -161,25 +162,30 @@
     /// have changed during the wait.
     async fn acquire_slot(
         &self,
-        work: &mut Request,
-        outset: Option<ThrottlePermit>,
+        request: &mut Request,
+        throttle_permit: Option<ThrottlePermit>,
     ) -> Result<Admitted, Response> {
         let permit = self
             .admission
-            .enter_in_class(work.class, work.rank, work.is_nested, work.time_left())
+            .enter_in_class(
+                request.class,
+                request.rank,
+                request.is_nested,
+                request.time_left(),
+            )
             .await;
-        let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
-        let Some(upstream) = self.ready_upstream(work, Instant::now()) else {
-            return Err(self.refuse(work, Reason::Draining));
+        let permit = permit.map_err(|reason| self.refuse_at(request, reason, Bound::Queue))?;
+        let Some(upstream) = self.ready_upstream(request, Instant::now()) else {
+            return Err(self.refuse(request, Reason::Draining));
         };
         let trial = self
-            .begin_trial(work)
-            .map_err(|reason| self.refuse(work, reason))?;
+            .begin_trial(request)
+            .map_err(|reason| self.refuse(request, reason))?;
         Ok(Admitted {
             upstream,
             ended: self.upstream.ended(),
             slot: self.slots.admit(permit),
-            outset,
+            throttle_permit,
             trial,
             is_given_up: Rc::default(),
         })
@@ -187,9 +193,9 @@
 
     /// Checks the quarantine state again, since it may have changed while the request waited and
     /// the sending node may know less.
-    fn begin_trial(&self, work: &mut Request) -> Result<Option<Guard>, Reason> {
-        let standing = self.quarantine.standing(&work.identity);
-        work.known_crashes = work.known_crashes.max(standing.known_crashes());
+    fn begin_trial(&self, request: &mut Request) -> Result<Option<Guard>, Reason> {
+        let standing = self.quarantine.standing(&request.identity);
+        request.known_crashes = request.known_crashes.max(standing.known_crashes());
         match standing {
             Standing::Clear | Standing::Suspected { .. } => Ok(None),
             Standing::OnTrial { .. } => {
@@ -201,39 +207,39 @@
     }
 
     /// Executes an idempotent request, which is cancelled when the caller stops waiting.
-    async fn run_idempotent(self: &Rc<Self>, work: &Request, admitted: Admitted) -> Response {
-        let mut returned = self.send(work, &admitted, work.deadline).await;
-        admitted.record_result(&returned, self.shared_pressure(work));
-        returned.body.hold(admitted);
-        returned
+    async fn run_idempotent(self: &Rc<Self>, request: &Request, admitted: Admitted) -> Response {
+        let mut response = self.send(request, &admitted, request.deadline).await;
+        admitted.record_result(&response, self.shared_pressure(request));
+        response.body.hold(admitted);
+        response
     }
 
     /// Executes a non-idempotent request to completion, even if the caller stops waiting.
     async fn run_once(
         self: &Rc<Self>,
-        work: Request,
+        request: Request,
         admitted: Admitted,
         entry: Entry,
     ) -> Response {
         if !entry.start() {
-            return self.refuse(&work, Reason::TicketClosed);
+            return self.refuse(&request, Reason::TicketClosed);
         }
         let gate = Rc::clone(self);
-        let deadline = work.deadline;
+        let deadline = request.deadline;
         let is_given_up = Rc::clone(&admitted.is_given_up);
         let (sender, receiver) = oneshot::channel();
-        let held = Held::new(&self.in_flight);
+        let in_flight_guard = Held::new(&self.in_flight);
         task::spawn("execution", async move {
-            let until = work.deadline + ANSWER_GRACE;
-            let mut returned = gate.send(&work, &admitted, until).await;
-            entry.finish(&returned, Instant::now());
-            admitted.record_result(&returned, gate.shared_pressure(&work));
-            returned.body.hold((admitted, held));
+            let until = request.deadline + ANSWER_GRACE;
+            let mut response = gate.send(&request, &admitted, until).await;
+            entry.finish(&response, Instant::now());
+            admitted.record_result(&response, gate.shared_pressure(&request));
+            response.body.hold((admitted, in_flight_guard));
             // The caller may have gone away; the execution record keeps the response.
-            let _ = sender.send(returned);
+            let _ = sender.send(response);
         });
-        let returned = await_result(deadline, &is_given_up, receiver).await;
-        returned.unwrap_or_else(|_| Response::unknown(Reason::Cancelled))
+        let response = await_result(deadline, &is_given_up, receiver).await;
+        response.unwrap_or_else(|_| Response::unknown(Reason::Cancelled))
     }
 
     /// Sets the maximum number of connections that the local upstream accepts.
@@ -279,31 +285,32 @@
     /// Returns the result of a request whose caller lost the response.
     pub(crate) async fn recall(&self, attempt: &AttemptKey) -> Response {
         match self.records.recall(attempt, Instant::now()) {
-            Recalled::Ended(returned) => returned,
+            Recalled::Ended(response) => response,
             Recalled::Running(receiver) => {
-                let returned = receiver.await;
-                returned.unwrap_or_else(|_| Response::unknown(Reason::Connection))
+                let response = receiver.await;
+                response.unwrap_or_else(|_| Response::unknown(Reason::Connection))
             }
         }
     }
 
     /// Returns the incarnation of the upstream that may execute the request.
-    fn ready_upstream(&self, work: &Request, now: Instant) -> Option<UpstreamKey> {
-        if work.service != self.service {
+    fn ready_upstream(&self, request: &Request, now: Instant) -> Option<UpstreamKey> {
+        if request.service != self.service {
             return None;
         }
         self.upstream.ready(now)
     }
 
-    /// Registers a request that comes directly from a client with the admission window of its kind.
-    fn enter_group(
+    /// Acquires a throttle permit for a request that comes directly from a client; calls made for a
+    /// running request need none.
+    fn acquire_throttle_permit(
         &self,
-        work: &Request,
+        request: &Request,
         now: Instant,
     ) -> Result<Option<ThrottlePermit>, Rejection> {
-        if work.is_nested {
+        if request.is_nested {
             return Ok(None);
         }
-        self.outset.acquire(&work.kind, now).map(Some)
+        self.throttle.acquire(&request.kind, now).map(Some)
     }
 }
--- a/crates/mesh/src/gate/records.rs
+++ b/crates/mesh/src/gate/records.rs
@@ -91,9 +91,9 @@
                 waiting.push(sender);
                 Recalled::Running(receiver)
             }
-            Record::Ended(Some(answer)) => {
+            Record::Ended(Some(response)) => {
                 let unknown = || Response::unknown(Reason::Connection);
-                Recalled::Ended(answer.try_clone().unwrap_or_else(unknown))
+                Recalled::Ended(response.try_clone().unwrap_or_else(unknown))
             }
             Record::Ended(None) => Recalled::Ended(Response::unknown(Reason::Connection)),
             Record::Waiting | Record::Refused => {
@@ -117,19 +117,19 @@
     fn record_end(
         &self,
         attempt: &AttemptKey,
-        returned: &Response,
+        response: &Response,
         now: Instant,
     ) -> Option<Record> {
-        let copy = returned.try_clone();
+        let copy = response.try_clone();
         if copy.is_some() {
-            self.retain_answer(attempt, returned, now);
+            self.retain_answer(attempt, response, now);
         }
         let ended = Record::Ended(copy.map(Box::new));
         self.by_attempt.borrow_mut().insert(attempt.clone(), ended)
     }
 
-    fn retain_answer(&self, attempt: &AttemptKey, answer: &Response, now: Instant) {
-        let size = answer.head.len() + answer.body.whole().map_or(0, Bytes::len);
+    fn retain_answer(&self, attempt: &AttemptKey, response: &Response, now: Instant) {
+        let size = response.head.len() + response.body.whole().map_or(0, Bytes::len);
         self.answers
             .borrow_mut()
             .push_back((now, attempt.clone(), size));
@@ -189,11 +189,11 @@
     ///
     /// If the upstream rejected the request, the record is removed so that the caller may retry,
     /// also on this node. If the caller recalls the request instead, it is refused for good.
-    pub(crate) fn finish(self, returned: &Response, now: Instant) {
-        let ended = if returned.outcome == Outcome::NotRun {
+    pub(crate) fn finish(self, response: &Response, now: Instant) {
+        let ended = if response.outcome == Outcome::NotRun {
             self.records.remove(&self.attempt)
         } else {
-            self.records.record_end(&self.attempt, returned, now)
+            self.records.record_end(&self.attempt, response, now)
         };
         let Some(Record::Running(waiting)) = ended else {
             return;
@@ -201,7 +201,7 @@
         for sender in waiting {
             let unknown = || Response::unknown(Reason::AnswerTooLarge);
             // The receiver may have been dropped.
-            let _ = sender.send(returned.try_clone().unwrap_or_else(unknown));
+            let _ = sender.send(response.try_clone().unwrap_or_else(unknown));
         }
     }
 }
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -11,24 +11,24 @@
 use crate::retry_after;
 
 impl Gate {
-    pub(super) fn refuse_held(&self, work: &Request, hold: Rejection) -> Response {
-        match hold {
-            Rejection::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
+    pub(super) fn refuse_throttled(&self, request: &Request, rejection: Rejection) -> Response {
+        match rejection {
+            Rejection::Window => self.refuse_at(request, Reason::Overload, Bound::Window),
             Rejection::Breaker => Response {
                 absent_below: true,
-                ..self.refuse_at(work, Reason::NoUpstream, Bound::Path)
+                ..self.refuse_at(request, Reason::NoUpstream, Bound::Path)
             },
         }
     }
 
-    pub(super) fn refuse(&self, work: &Request, reason: Reason) -> Response {
-        self.refuse_at(work, reason, Bound::Nothing)
+    pub(super) fn refuse(&self, request: &Request, reason: Reason) -> Response {
+        self.refuse_at(request, reason, Bound::Nothing)
     }
 
-    pub(super) fn refuse_at(&self, work: &Request, reason: Reason, bound: Bound) -> Response {
+    pub(super) fn refuse_at(&self, request: &Request, reason: Reason, bound: Bound) -> Response {
         self.events.note_refusal(&Refusal {
-            attempt: &work.attempt,
-            kind: &work.kind,
+            attempt: &request.attempt,
+            kind: &request.kind,
             reason,
             bound,
             calls: self.admission.in_flight() + self.admission.waiting(),
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -12,7 +12,7 @@
 
 use super::Gate;
 use super::admitted::Admitted;
-use super::exchange::{ExchangeError, UpstreamAnswer, exchange};
+use super::exchange::{ExchangeError, UpstreamResponse, exchange};
 use super::upstream::Ended;
 use super::wait::Waited;
 use crate::clock;
@@ -26,48 +26,50 @@
     /// Sends a request and waits for its response, until `until` at the latest.
     pub(super) async fn send(
         self: &Rc<Self>,
-        work: &Request,
+        request: &Request,
         admitted: &Admitted,
         until: Moment,
     ) -> Response {
         let upstream = &admitted.upstream;
-        let entry = self.contexts.open(work, upstream);
-        let exchange = exchange(&self.pool, self.dialect.fields(), upstream, work);
+        let guard = self.contexts.open(request, upstream);
+        let exchange = exchange(&self.pool, self.dialect.fields(), upstream, request);
         // Boxed, since each of the enclosing futures would otherwise reserve space for its state.
         let exchange = exchange.boxed_local();
         let exchange = until_ended(exchange, admitted.ended.clone());
-        let sent = self.track(work, admitted);
+        let sent = self.track(request, admitted);
         let result = self
-            .wait_for(&sent, &entry.context, clock::until(until, exchange))
+            .wait_for(&sent, &guard.context, clock::until(until, exchange))
             .await;
         sent.record_end(&result, admitted);
-        let returned = match result {
-            Waited::Finished(Ok(Ok(answer))) => self.take_answer(work, admitted, sent.at, answer),
-            Waited::Finished(Ok(Err(error))) => self.take_error(work, upstream, &error).await,
+        let response = match result {
+            Waited::Finished(Ok(Ok(response))) => {
+                self.handle_response(request, admitted, sent.at, response)
+            }
+            Waited::Finished(Ok(Err(error))) => self.handle_error(request, upstream, &error).await,
             Waited::Finished(Err(_)) => Response::unknown(Reason::Deadline),
             Waited::GivenUp => Response::unknown(Reason::Connection),
         };
-        if returned.outcome == Outcome::Done {
-            self.quarantine.record_answer(&work.identity);
-            sent.record_answer(&returned, self.upstream.report.slowdown());
+        if response.outcome == Outcome::Done {
+            self.quarantine.record_answer(&request.identity);
+            sent.record_answer(&response, self.upstream.report.slowdown());
         }
         Response {
-            path_pressure: entry.context.pressure.get(),
-            failed_below: entry.context.failed_below.get(),
-            absent_below: entry.context.absent_below.get(),
-            ..returned
+            path_pressure: guard.context.pressure.get(),
+            failed_below: guard.context.failed_below.get(),
+            absent_below: guard.context.absent_below.get(),
+            ..response
         }
     }
 
-    fn take_answer(
+    fn handle_response(
         &self,
-        work: &Request,
+        request: &Request,
         admitted: &Admitted,
         sent_at: Moment,
-        answer: UpstreamAnswer,
+        response: UpstreamResponse,
     ) -> Response {
         let upstream = &admitted.upstream;
-        let UpstreamAnswer { head, body } = answer;
+        let UpstreamResponse { head, body } = response;
         let fields = self.dialect.fields();
         if let Some(value) = head.fields.all(fields.load).next()
             && head.status != 421
@@ -94,19 +96,19 @@
         if PROMISES.contains(&head.status) {
             let reason =
                 "a status that implies that the request did not run, not confirmed by the upstream";
-            self.events.note_loss(&work.attempt, &reason);
+            self.events.note_loss(&request.attempt, &reason);
             return Response::unknown(Reason::Connection);
         }
         Response::answered(head.status, passed_on(&head), body)
     }
 
-    async fn take_error(
+    async fn handle_error(
         self: &Rc<Self>,
-        work: &Request,
+        request: &Request,
         upstream: &UpstreamKey,
         error: &ExchangeError,
     ) -> Response {
-        self.events.note_loss(&work.attempt, error);
+        self.events.note_loss(&request.attempt, error);
         if matches!(error, ExchangeError::Late) {
             return Response::refused(Reason::Deadline);
         }
@@ -114,7 +116,7 @@
             self.upstream.record_unreachable(Instant::now());
             return Response::refused(Reason::NoUpstream);
         }
-        if self.has_crashed(upstream, &work.attempt, error).await {
+        if self.has_crashed(upstream, &request.attempt, error).await {
             return Response::unknown(Reason::UpstreamCrashed);
         }
         Response::unknown(Reason::Connection)
@@ -126,9 +128,9 @@
 /// An instance that lost power does not close its connections, so only a new incarnation shows that
 /// the old one has ended.
 async fn until_ended(
-    exchange: impl Future<Output = Result<UpstreamAnswer, ExchangeError>>,
+    exchange: impl Future<Output = Result<UpstreamResponse, ExchangeError>>,
     ended: Ended,
-) -> Result<UpstreamAnswer, ExchangeError> {
+) -> Result<UpstreamResponse, ExchangeError> {
     match select(std::pin::pin!(exchange), ended).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => Err(ExchangeError::Restarted),
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -11,7 +11,7 @@
 
 use super::Gate;
 use super::admitted::Admitted;
-use super::exchange::{ExchangeError, UpstreamAnswer};
+use super::exchange::{ExchangeError, UpstreamResponse};
 use super::kinds::{InFlight, Kind};
 use super::timeout::{Decision, Pending};
 use crate::clock::{self, LAST_LOOK, Late};
@@ -27,7 +27,7 @@
 const REPLY_MARGIN: Duration = Duration::from_millis(25);
 
 /// The result of an exchange, or `Late` after the deadline.
-type Exchanged = Result<Result<UpstreamAnswer, ExchangeError>, Late>;
+type Exchanged = Result<Result<UpstreamResponse, ExchangeError>, Late>;
 
 /// How the wait for a response ended.
 pub(super) enum Waited {
@@ -68,8 +68,8 @@
     }
 
     /// Records the latency of a successful response.
-    pub(super) fn record_answer(&self, returned: &Response, slowdown: f64) {
-        if returned.is_success() {
+    pub(super) fn record_answer(&self, response: &Response, slowdown: f64) {
+        if response.is_success() {
             self.in_flight.record_answer(slowdown, Instant::now());
             self.kind.record_outcome(false, Instant::now());
         }
@@ -78,25 +78,25 @@
 
 impl Gate {
     /// Starts tracking a request that is sent now.
-    pub(super) fn track<'a>(&self, work: &'a Request, admitted: &'a Admitted) -> Sent<'a> {
-        let kind = self.kinds.get(&work.kind);
+    pub(super) fn track<'a>(&self, request: &'a Request, admitted: &'a Admitted) -> Sent<'a> {
+        let kind = self.kinds.get(&request.kind);
         let latency = kind.latency();
         let slowdown = self.upstream.report.slowdown();
         let now = clock::now();
         let expected_end = latency.map(|latency| now + latency.p99.mul_f64(slowdown));
-        let until = expected_end.map_or(work.deadline, |expected_end| {
-            expected_end.min(work.deadline)
+        let until = expected_end.map_or(request.deadline, |expected_end| {
+            expected_end.min(request.deadline)
         });
         admitted.slot.start(now, until);
         Sent {
-            attempt: &work.attempt,
-            name: &work.kind,
+            attempt: &request.attempt,
+            name: &request.kind,
             in_flight: kind.begin(Instant::now()),
             kind,
             at: now,
-            deadline: work.deadline,
-            is_idempotent: work.idempotent,
-            is_retry: work.is_retry,
+            deadline: request.deadline,
+            is_idempotent: request.idempotent,
+            is_retry: request.is_retry,
             admitted,
         }
     }
@@ -192,7 +192,7 @@
 ) -> Result<Response, oneshot::Canceled> {
     let result = clock::until(deadline.before(REPLY_MARGIN), &mut receiver).await;
     match result {
-        Ok(returned) => returned,
+        Ok(response) => response,
         Err(Late) if is_given_up.get() => Ok(Response::unknown(sailtrack_wire::Reason::Deadline)),
         Err(Late) => receiver.await,
     }
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -25,7 +25,7 @@
 
 /// The maximum number of requests reported after a crash; those with the most known crashes take
 /// precedence. At 26 bytes each this is 7 KB per receiving node, whatever the number of nodes.
-const MOST_REPORTED: usize = 256;
+const MAX_REPORTED: usize = 256;
 
 /// Evidence of this node against requests during which upstreams crashed.
 pub(crate) struct Quarantine {
@@ -60,31 +60,35 @@
     }
 
     /// Records a crash of the local upstream and broadcasts the evidence to all other nodes.
-    pub(crate) fn record_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
-        self.events.note_crash(upstream, ran);
+    pub(crate) fn record_crash(&self, upstream: &UpstreamKey, in_flight: &[Rc<Context>]) {
+        self.events.note_crash(upstream, in_flight);
         self.metrics.note_crash();
         let now = clock::now();
         let ledger = self.ledger.borrow();
-        let ran = ran.iter().map(|one| Execution {
-            succeeded_recently: ledger.succeeded_recently(&one.identity, now),
-            ..one.ran()
+        let in_flight = in_flight.iter().map(|context| Execution {
+            succeeded_recently: ledger.succeeded_recently(&context.identity, now),
+            ..context.execution()
         });
-        let mut ran: Vec<Execution> = ran.collect();
+        let mut in_flight: Vec<Execution> = in_flight.collect();
         drop(ledger);
-        ran.sort_by_key(|one| std::cmp::Reverse(one.known_crashes));
-        let is_whole = ran.len() <= MOST_REPORTED;
-        ran.truncate(MOST_REPORTED);
-        self.take_crash(&upstream.to_string(), &ran, is_whole);
-        self.status
-            .tell(&Body::Evidence(wire::crash(upstream, &ran, is_whole)));
+        in_flight.sort_by_key(|execution| std::cmp::Reverse(execution.known_crashes));
+        let is_complete = in_flight.len() <= MAX_REPORTED;
+        in_flight.truncate(MAX_REPORTED);
+        self.apply_crash(&upstream.to_string(), &in_flight, is_complete);
+        self.status.tell(&Body::Evidence(wire::encode_crash(
+            upstream,
+            &in_flight,
+            is_complete,
+        )));
     }
 
     /// Records and broadcasts a crash of another node's upstream, from the requests that this node
     /// had sent there: that node has failed as well and can't report the crash.
-    pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, ran: &[Execution]) {
-        self.take_crash(&upstream.to_string(), ran, false);
-        self.status
-            .tell(&Body::Evidence(wire::crash(upstream, ran, false)));
+    pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, in_flight: &[Execution]) {
+        self.apply_crash(&upstream.to_string(), in_flight, false);
+        self.status.tell(&Body::Evidence(wire::encode_crash(
+            upstream, in_flight, false,
+        )));
     }
 
     /// Records that a request was answered completely, which clears it.
@@ -94,8 +98,9 @@
             .borrow_mut()
             .record_success(identity, clock::now());
         if before.is_restricted() {
-            self.events.note_cleared(identity, &"it ended well");
-            self.status.tell(&Body::Evidence(wire::cleared(identity)));
+            self.events.note_cleared(identity, &"it succeeded");
+            self.status
+                .tell(&Body::Evidence(wire::encode_cleared(identity)));
         }
     }
 
@@ -107,27 +112,30 @@
 
     /// Clears a request on an operator's command; returns true if there was evidence against it.
     pub(crate) fn lift(&self, identity: &Identity) -> bool {
-        let was_known = self.ledger.borrow_mut().clear(identity, clock::now());
-        self.events.note_cleared(identity, &"an operator lifted it");
-        self.status.tell(&Body::Evidence(wire::cleared(identity)));
-        was_known
+        let had_evidence = self.ledger.borrow_mut().clear(identity, clock::now());
+        self.events.note_cleared(identity, &"lifted by an operator");
+        self.status
+            .tell(&Body::Evidence(wire::encode_cleared(identity)));
+        had_evidence
     }
 
     /// Merges evidence from another node.
     pub(crate) fn merge(&self, evidence: &Evidence) {
         let now = clock::now();
-        let (crash, cleared, held) = wire::read(evidence);
+        let (crash, cleared, verdicts) = wire::decode(evidence);
         if let Some(crash) = crash {
-            self.events.note_evidence(&crash.life, crash.ran.len());
-            self.take_crash(&crash.life, &crash.ran, crash.is_whole);
+            self.events
+                .note_evidence(&crash.incarnation, crash.in_flight.len());
+            self.apply_crash(&crash.incarnation, &crash.in_flight, crash.is_complete);
         }
         let mut ledger = self.ledger.borrow_mut();
         for identity in &cleared {
             if ledger.clear(identity, now) {
-                self.events.note_cleared(identity, &"another node said so");
+                self.events
+                    .note_cleared(identity, &"cleared by another node");
             }
         }
-        for record in &held {
+        for record in &verdicts {
             ledger.merge(record, now);
         }
     }
@@ -135,7 +143,7 @@
     /// Returns the verdicts for a node that connects, or `None` if there are none.
     pub(crate) fn snapshot(&self) -> Option<Body> {
         let records = self.ledger.borrow().snapshot(clock::now());
-        (!records.is_empty()).then(|| Body::Evidence(wire::held(&records)))
+        (!records.is_empty()).then(|| Body::Evidence(wire::encode_verdicts(&records)))
     }
 
     /// Returns all requests that are on trial or in quarantine, the newest first.
@@ -150,7 +158,7 @@
         (ledger.len(), ledger.quarantined_count(clock::now()))
     }
 
-    fn take_crash(&self, incarnation: &str, in_flight: &[Execution], is_complete: bool) {
+    fn apply_crash(&self, incarnation: &str, in_flight: &[Execution], is_complete: bool) {
         let crash = Crash {
             incarnation,
             in_flight,
