--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -15,7 +15,7 @@
 use crate::request::{Request, Response};
 
 /// Returns a request with this id whose deadline is now.
-pub(crate) fn work(id: &str) -> Request {
+pub(crate) fn request(id: &str) -> Request {
     Request {
         workspace: None,
         completed_calls: 0,
@@ -38,7 +38,7 @@
 /// Returns the contexts of this many requests in an incarnation of the upstream.
 pub(crate) fn contexts_of(upstream: &UpstreamKey, count: usize) -> Vec<Rc<Context>> {
     let contexts = Rc::new(Contexts::default());
-    let opened = (0..count).map(|number| contexts.open(&work(&number.to_string()), upstream));
+    let opened = (0..count).map(|number| contexts.open(&request(&number.to_string()), upstream));
     opened.map(|open| Rc::clone(&open.context)).collect()
 }
 
@@ -58,14 +58,14 @@
     let low = Request {
         class: Importance::Low.into(),
         rank: Rank::LOWEST,
-        ..work("a")
+        ..request("a")
     };
     let open = contexts.open(&low, &upstream());
     assert_eq!(open.context.call_class(), Importance::Low.into());
     assert_eq!(open.context.call_rank(), Rank::LOWEST);
     let critical = Request {
         class: Importance::Critical.into(),
-        ..work("b")
+        ..request("b")
     };
     let open = contexts.open(&critical, &upstream());
     let class = open.context.call_class();
@@ -75,7 +75,7 @@
 #[test]
 fn told_by_prefix() {
     let contexts = Rc::new(Contexts::default());
-    let open = contexts.open(&work("a.b"), &upstream());
+    let open = contexts.open(&request("a.b"), &upstream());
     let parent = contexts
         .parent(&AttemptKey::from("a.b.c"))
         .expect("its parent runs");
@@ -91,8 +91,8 @@
 #[test]
 fn same_id_twice() {
     let contexts = Rc::new(Contexts::default());
-    let first = contexts.open(&work("a"), &upstream());
-    let second = contexts.open(&work("a"), &upstream());
+    let first = contexts.open(&request("a"), &upstream());
+    let second = contexts.open(&request("a"), &upstream());
     drop(first);
     assert!(has_parent(&contexts, "a.b"), "the second one still runs");
     drop(second);
@@ -103,7 +103,7 @@
 #[test]
 fn absence_goes_up() {
     let contexts = Rc::new(Contexts::default());
-    let open = contexts.open(&work("a"), &upstream());
+    let open = contexts.open(&request("a"), &upstream());
     open.context
         .record_result(&Response::refused(Reason::Overload));
     assert!(!open.context.absent_below.get());
--- a/crates/mesh/src/gate/exchange/tests.rs
+++ b/crates/mesh/src/gate/exchange/tests.rs
@@ -9,7 +9,7 @@
 
 use super::exchange;
 use crate::clock;
-use crate::contexts::tests::work;
+use crate::contexts::tests::request;
 use crate::dialect::FieldNames;
 use crate::gate::pool::Pool;
 use crate::key::UpstreamKey;
@@ -34,13 +34,13 @@
 fn nothing_sent_too_late() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let pool = Pool::new(listener.local_addr().expect("a local address"));
-    let late = Request {
+    let expired = Request {
         deadline: clock::now().before(Duration::from_millis(1)),
-        ..work("a")
+        ..request("a")
     };
     let upstream = UpstreamKey::new("i-1", None).expect("a sound id");
     let result = runtime::run(async {
-        let exchange = exchange(&pool, &FIELDS, &upstream, &late);
+        let exchange = exchange(&pool, &FIELDS, &upstream, &expired);
         timeout(Duration::from_secs(1), exchange).await
     });
     let result = result
--- a/crates/mesh/src/gate/records/tests.rs
+++ b/crates/mesh/src/gate/records/tests.rs
@@ -11,13 +11,13 @@
 use crate::key::AttemptKey;
 use crate::request::Response;
 
-fn text(returned: &Response) -> &[u8] {
-    returned.body.whole().expect("a buffered body")
+fn text(response: &Response) -> &[u8] {
+    response.body.whole().expect("a buffered body")
 }
 
 fn recall(records: &Records, key: &AttemptKey, now: Instant) -> Response {
     match records.recall(key, now) {
-        Recalled::Ended(returned) => returned,
+        Recalled::Ended(response) => response,
         Recalled::Running(_) => panic!("the request is still running"),
     }
 }
@@ -65,11 +65,11 @@
     };
     let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
     entry.finish(&answer, now);
-    let told = receiver
+    let result = receiver
         .try_recv()
         .expect("the sender exists")
         .expect("a result was sent");
-    assert_eq!(text(&told), b"done");
+    assert_eq!(text(&result), b"done");
     assert_eq!(text(&recall(&records, &key, now)), b"done");
 }
 
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -20,7 +20,7 @@
 use crate::request::{Request, Response};
 
 /// Statuses that by their definition promise that the request did not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 impl Gate {
     /// Sends a request and waits for its response, until `until` at the latest.
@@ -93,13 +93,13 @@
             self.admission.record_shed(Instant::now());
             return Response::rejected_by_upstream(Reason::UpstreamShed);
         }
-        if PROMISES.contains(&head.status) {
+        if NOT_RUN_STATUSES.contains(&head.status) {
             let reason =
                 "a status that implies that the request did not run, not confirmed by the upstream";
             self.events.note_loss(&request.attempt, &reason);
             return Response::unknown(Reason::Connection);
         }
-        Response::answered(head.status, passed_on(&head), body)
+        Response::answered(head.status, forwarded_head(&head), body)
     }
 
     async fn handle_error(
@@ -138,7 +138,7 @@
 }
 
 /// Returns the status line and the response fields that may be forwarded.
-fn passed_on(head: &ResponseHead) -> Bytes {
+fn forwarded_head(head: &ResponseHead) -> Bytes {
     let mut bytes = BytesMut::with_capacity(512);
     bytes.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
     bytes.extend_from_slice(&head.reason);
