--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -76,14 +76,14 @@
     }
 
     /// Sets the tables of running requests and of execution records.
-    pub(crate) fn memory(mut self, contexts: Rc<Contexts>, records: Rc<Records>) -> Self {
+    pub(crate) fn tables(mut self, contexts: Rc<Contexts>, records: Rc<Records>) -> Self {
         self.gate.contexts = contexts;
         self.gate.records = records;
         self
     }
 
     /// Sets where decisions are logged and counted.
-    pub(crate) fn reports(mut self, events: Rc<Events>, metrics: Rc<Metrics>) -> Self {
+    pub(crate) fn telemetry(mut self, events: Rc<Events>, metrics: Rc<Metrics>) -> Self {
         self.gate.events = events;
         self.gate.metrics = metrics;
         self
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -223,8 +223,8 @@
     let gate = gate
         .in_flight(Rc::clone(in_flight))
         .admission(table.find()?, table.find()?)
-        .memory(table.find()?, table.find()?)
-        .reports(table.find()?, table.find()?);
+        .tables(table.find()?, table.find()?)
+        .telemetry(table.find()?, table.find()?);
     table.install(gate.build());
     let peers: Rc<Peers> = table.find()?;
     table.install(Routing {
