--- a/crates/mesh/src/gate/crash.rs
+++ b/crates/mesh/src/gate/crash.rs
@@ -87,7 +87,7 @@
     }
 
     /// Drops the suspicion if the incarnation answered a request that was sent after the loss.
-    pub(super) fn record_answer(&self, upstream: &UpstreamKey, sent: Moment) {
+    pub(super) fn record_response(&self, upstream: &UpstreamKey, sent: Moment) {
         self.suspicion
             .borrow_mut()
             .take_if(|suspicion| suspicion.is_about(upstream) && suspicion.is_refuted_by(sent));
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -32,7 +32,7 @@
 /// The maximum body size of a stale response, which is read and discarded.
 const MAX_STALE_BODY_BYTES: usize = 1024 * 1024;
 /// The maximum number of responses to other requests that are skipped before the expected one.
-const MAX_STALE_ANSWERS: u32 = 3;
+const MAX_STALE_RESPONSES: u32 = 3;
 
 /// Why an exchange produced no response that can be forwarded.
 #[derive(Debug, Display)]
@@ -245,7 +245,7 @@
     is_head_request: bool,
 ) -> Result<MatchedHead, ExchangeError> {
     let mut bytes = first_head;
-    for _ in 0..=MAX_STALE_ANSWERS {
+    for _ in 0..=MAX_STALE_RESPONSES {
         let head = ResponseHead::parse(&bytes).map_err(ExchangeError::Head)?;
         let framing = response_framing(head.status, is_head_request, &head.fields);
         let framing = framing.map_err(ExchangeError::Head)?;
--- a/crates/mesh/src/gate/kinds.rs
+++ b/crates/mesh/src/gate/kinds.rs
@@ -202,7 +202,7 @@
     }
 
     /// Records its response; `slowdown` is the factor by which work takes longer than usual.
-    pub(super) fn record_answer(&self, slowdown: f64, now: Instant) {
+    pub(super) fn record_response(&self, slowdown: f64, now: Instant) {
         self.overtake_earlier();
         let time = self.waited(now).div_f64(slowdown.max(1.0));
         let latency = self.kind.latencies.borrow().latency();
--- a/crates/mesh/src/gate/kinds/tests.rs
+++ b/crates/mesh/src/gate/kinds/tests.rs
@@ -16,7 +16,7 @@
 /// Records responses of this latency, one after the other.
 fn answer(kind: &Rc<Kind>, now: Instant, count: u64, time: Duration) {
     for _ in 0..count {
-        kind.begin(now).record_answer(1.0, now + time);
+        kind.begin(now).record_response(1.0, now + time);
     }
 }
 
@@ -43,7 +43,7 @@
 fn at_usual_pace() {
     let (kind, now) = (kind(), Instant::now());
     for _ in 0..MIN_SAMPLES {
-        kind.begin(now).record_answer(4.0, now + ms(400));
+        kind.begin(now).record_response(4.0, now + ms(400));
     }
     assert_near(kind.latency().expect("enough samples").median, ms(100));
 }
@@ -77,11 +77,11 @@
     let first = kind.begin(now);
     let second = kind.begin(now);
     let third = kind.begin(now);
-    third.record_answer(1.0, now);
+    third.record_response(1.0, now);
     drop(third);
-    second.record_answer(1.0, now);
+    second.record_response(1.0, now);
     assert_eq!((first.overtaken(), second.overtaken()), (2, 1));
-    first.record_answer(1.0, now);
+    first.record_response(1.0, now);
     assert_eq!(second.overtaken(), 1, "the first was sent earlier");
 }
 
@@ -93,7 +93,7 @@
     kind.begin(now).record_abandoned(now + ms(300));
     let last_abandoned = |at: Instant| kind.begin(at).last_abandoned();
     assert_eq!(last_abandoned(now + ms(300)), ms(300));
-    before.record_answer(1.0, now + ms(310));
+    before.record_response(1.0, now + ms(310));
     assert_eq!(
         last_abandoned(now + ms(310)),
         ms(300),
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -61,7 +61,7 @@
 
 /// How long after its deadline a non-idempotent request still waits for its response: the upstream
 /// stops work at the deadline and then reports that.
-const ANSWER_GRACE: Duration = Duration::from_millis(250);
+const RESPONSE_GRACE: Duration = Duration::from_millis(250);
 
 /// Admits requests to the local upstream and executes them there.
 pub(crate) struct Gate {
@@ -230,7 +230,7 @@
         let (sender, receiver) = oneshot::channel();
         let in_flight_guard = Held::new(&self.in_flight);
         task::spawn("execution", async move {
-            let until = request.deadline + ANSWER_GRACE;
+            let until = request.deadline + RESPONSE_GRACE;
             let mut response = gate.send(&request, &admitted, until).await;
             entry.finish(&response, Instant::now());
             admitted.record_result(&response, gate.shared_pressure(&request));
--- a/crates/mesh/src/gate/records.rs
+++ b/crates/mesh/src/gate/records.rs
@@ -23,9 +23,9 @@
 const RETENTION: Duration = Duration::from_mins(1);
 /// How long a response is kept for a caller whose connection broke; callers ask for it within two
 /// seconds.
-const ANSWER_RETENTION: Duration = Duration::from_secs(5);
+const RESPONSE_RETENTION: Duration = Duration::from_secs(5);
 /// The maximum total size of the responses that are kept.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// The execution state of a request.
 enum Record {
@@ -52,8 +52,8 @@
 pub(crate) struct Records {
     by_attempt: RefCell<HashMap<AttemptKey, Record>>,
     by_age: RefCell<VecDeque<(Instant, AttemptKey)>>,
-    answers: RefCell<VecDeque<(Instant, AttemptKey, usize)>>,
-    answer_bytes: Cell<usize>,
+    responses: RefCell<VecDeque<(Instant, AttemptKey, usize)>>,
+    response_bytes: Cell<usize>,
 }
 
 impl Service for Records {
@@ -122,22 +122,22 @@
     ) -> Option<Record> {
         let copy = response.try_clone();
         if copy.is_some() {
-            self.retain_answer(attempt, response, now);
+            self.retain_response(attempt, response, now);
         }
         let ended = Record::Ended(copy.map(Box::new));
         self.by_attempt.borrow_mut().insert(attempt.clone(), ended)
     }
 
-    fn retain_answer(&self, attempt: &AttemptKey, response: &Response, now: Instant) {
+    fn retain_response(&self, attempt: &AttemptKey, response: &Response, now: Instant) {
         let size = response.head.len() + response.body.whole().map_or(0, Bytes::len);
-        self.answers
+        self.responses
             .borrow_mut()
             .push_back((now, attempt.clone(), size));
-        self.answer_bytes.set(self.answer_bytes.get() + size);
+        self.response_bytes.set(self.response_bytes.get() + size);
     }
 
     fn evict_expired(&self, now: Instant) {
-        self.evict_answers(now);
+        self.evict_responses(now);
         let mut by_age = self.by_age.borrow_mut();
         let is_expired =
             |entry: &(Instant, AttemptKey)| now.saturating_duration_since(entry.0) >= RETENTION;
@@ -148,18 +148,18 @@
         }
     }
 
-    fn evict_answers(&self, now: Instant) {
-        let mut answers = self.answers.borrow_mut();
-        while let Some((added, attempt, size)) = answers.front() {
-            let is_expired = now.saturating_duration_since(*added) >= ANSWER_RETENTION;
-            if !is_expired && self.answer_bytes.get() <= MAX_ANSWER_BYTES {
+    fn evict_responses(&self, now: Instant) {
+        let mut responses = self.responses.borrow_mut();
+        while let Some((added, attempt, size)) = responses.front() {
+            let is_expired = now.saturating_duration_since(*added) >= RESPONSE_RETENTION;
+            if !is_expired && self.response_bytes.get() <= MAX_RESPONSE_BYTES {
                 return;
             }
             if let Some(record) = self.by_attempt.borrow_mut().get_mut(attempt) {
                 *record = Record::Ended(None);
             }
-            self.answer_bytes.set(self.answer_bytes.get() - size);
-            answers.pop_front();
+            self.response_bytes.set(self.response_bytes.get() - size);
+            responses.pop_front();
         }
     }
 }
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -50,8 +50,8 @@
             Waited::GivenUp => Response::unknown(Reason::Connection),
         };
         if response.outcome == Outcome::Done {
-            self.quarantine.record_answer(&request.identity);
-            sent.record_answer(&response, self.upstream.report.slowdown());
+            self.quarantine.record_response(&request.identity);
+            sent.record_response(&response, self.upstream.report.slowdown());
         }
         Response {
             path_pressure: guard.context.pressure.get(),
@@ -88,7 +88,7 @@
             self.pool.clear();
             return Response::rejected_by_upstream(Reason::NoUpstream);
         }
-        self.detector.record_answer(upstream, sent_at);
+        self.detector.record_response(upstream, sent_at);
         if says_not_run {
             self.admission.record_shed(Instant::now());
             return Response::rejected_by_upstream(Reason::UpstreamShed);
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -68,9 +68,9 @@
     }
 
     /// Records the latency of a successful response.
-    pub(super) fn record_answer(&self, response: &Response, slowdown: f64) {
+    pub(super) fn record_response(&self, response: &Response, slowdown: f64) {
         if response.is_success() {
-            self.in_flight.record_answer(slowdown, Instant::now());
+            self.in_flight.record_response(slowdown, Instant::now());
             self.kind.record_outcome(false, Instant::now());
         }
     }
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -105,7 +105,7 @@
     }
 
     /// Records that the local upstream answered a request, without clearing it.
-    pub(crate) fn record_answer(&self, identity: &Identity) {
+    pub(crate) fn record_response(&self, identity: &Identity) {
         let mut ledger = self.ledger.borrow_mut();
         ledger.remember_success(identity, clock::now());
     }
