--- a/crates/mesh/src/gate/admitted.rs
+++ b/crates/mesh/src/gate/admitted.rs
@@ -20,7 +20,7 @@
     pub(super) slot: Slot,
     /// Its throttle permit, if it comes directly from a client.
     pub(super) throttle_permit: Option<ThrottlePermit>,
-    /// Held if the request is a crash suspect on trial.
+    /// Held if the request is on trial.
     #[allow(dead_code, reason = "it is held, not read")]
     pub(super) trial: Option<Guard>,
     /// Whether the wait for a response was given up before the deadline.
--- a/crates/mesh/src/gate/kinds.rs
+++ b/crates/mesh/src/gate/kinds.rs
@@ -16,7 +16,8 @@
 
 /// The samples that are required before latency percentiles are used.
 const MIN_SAMPLES: u64 = 20;
-/// The age at which a histogram is replaced by a new one.
+/// The age at which a histogram with enough samples is replaced by a new one, and for how long an
+/// abandoned wait counts.
 const WINDOW: Duration = Duration::from_secs(10);
 /// The maximum number of kinds: a service has only a few, but routes come and go.
 const MAX_KINDS: usize = 128;
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -82,7 +82,7 @@
     detector: Detector,
     quarantine: Rc<Quarantine>,
     wake: Rc<Wake>,
-    /// Held by the one crash suspect that may run at a time, since it might crash the upstream.
+    /// Held by the one request on trial that may run at a time, since it might crash the upstream.
     trials: Lock,
     in_flight: Rc<Cell<usize>>,
 }
