--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -1,12 +1,12 @@
-//! The requests that run in the own upstream.
+//! Requests that the local upstream is executing, and the calls made for them.
 //!
-//! The calls that an upstream makes carry nothing that surely names the
-//! request that they are made for. Where the id of a call begins with the id
-//! of a request that runs here at this moment, it is taken for a call of that
-//! request. Importance and pressure depend on it, and on a route that wants a
-//! key, whether it is let in: there it counts as one more request of the
-//! workspace, so that a caller who makes up such an id for a request of its
-//! own gains nothing that its key would not give.
+//! The calls that an upstream makes carry nothing that reliably names the
+//! request they are made for. If the id of a call starts with the id of a
+//! request that runs here at the moment, the call is attributed to that
+//! request. Its importance and the propagation of pressure depend on that. On a
+//! route that requires a key, so does access: the call then counts as another
+//! request of the same workspace, so a caller that forges such an id gains
+//! nothing beyond what its key would permit.
 
 #[cfg(test)]
 pub(crate) mod tests;
@@ -23,37 +23,38 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::request::{Request, Response};
 
-/// Separates the id of a call from that of the request that it is made for.
+/// Separates the id of the request from the suffix that the call adds.
 const SEPARATOR: char = '.';
 
-/// One request that runs in the own upstream.
+/// A request that the local upstream is executing.
 #[derive(Debug)]
 pub(crate) struct Context {
     pub(crate) identity: Identity,
-    /// How many crashes that followed each other under it were known when it was let in.
+    /// The number of consecutive crashes during this request that were known when it was admitted.
     known_crashes: u8,
     pub(crate) kind: KindName,
-    /// The life of the upstream that runs it.
+    /// The incarnation of the upstream that executes it.
     upstream: UpstreamKey,
     pub(crate) rank: Rank,
     pub(crate) class: Class,
-    /// On whose behalf it is made.
+    /// The workspace on whose behalf it is made.
     pub(crate) workspace: Option<WorkspaceName>,
     /// Whether it was sent to another upstream before.
-    pub(crate) repeated: bool,
-    /// The greatest pressure that a call made for it met.
+    pub(crate) is_retry: bool,
+    /// The highest pressure that a call made for it has met.
     pub(crate) pressure: Cell<Pressure>,
     /// Whether a call was made for it.
     pub(crate) has_made_calls: Cell<bool>,
-    /// How many calls made for it were answered well.
+    /// The number of successful calls made for it.
     pub(crate) successful_calls: Cell<u32>,
-    /// Whether a call made for it failed,
+    /// Whether a call made for it failed.
     pub(crate) failed_below: Cell<bool>,
-    /// and whether one found no upstream of its service, there or further down.
+    /// Whether a call made for it, or one further down the call chain, found no upstream of its
+    /// service.
     pub(crate) absent_below: Cell<bool>,
 }
 
-/// The requests that run in the own upstream.
+/// The requests that the local upstream is executing, by id.
 #[derive(Debug, Default)]
 pub(crate) struct Contexts {
     running: RefCell<HashMap<AttemptKey, Rc<Context>>>,
@@ -64,35 +65,35 @@
 }
 
 impl Contexts {
-    /// Remembers a request until the guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>, work: &Request, upstream: &UpstreamKey) -> Open {
+    /// Adds a request until the returned guard is dropped.
+    pub(crate) fn open(self: &Rc<Self>, request: &Request, upstream: &UpstreamKey) -> Guard {
         let context = Rc::new(Context {
-            identity: work.identity,
-            known_crashes: work.known_crashes,
-            kind: work.kind.clone(),
+            identity: request.identity,
+            known_crashes: request.known_crashes,
+            kind: request.kind.clone(),
             upstream: upstream.clone(),
-            rank: work.rank,
-            class: work.class,
-            workspace: work.workspace.clone(),
-            repeated: work.is_retry,
+            rank: request.rank,
+            class: request.class,
+            workspace: request.workspace.clone(),
+            is_retry: request.is_retry,
             pressure: Cell::default(),
             has_made_calls: Cell::new(false),
             successful_calls: Cell::new(0),
             failed_below: Cell::new(false),
             absent_below: Cell::new(false),
         });
-        let key = work.attempt.clone();
+        let key = request.attempt.clone();
         let mut running = self.running.borrow_mut();
         running.insert(key.clone(), Rc::clone(&context));
         drop(running);
-        Open {
+        Guard {
             contexts: Rc::clone(self),
             key,
             context,
         }
     }
 
-    /// Returns the request that a call with this id is made for, if it runs here.
+    /// Returns the request that a call with this id is made for, if it is running here.
     pub(crate) fn parent(&self, call: &AttemptKey) -> Option<Rc<Context>> {
         let running = self.running.borrow();
         let mut id = call.as_str();
@@ -106,22 +107,24 @@
         None
     }
 
-    /// Returns the requests that run in this life of the own upstream.
+    /// Returns the requests that run in this incarnation of the local upstream.
     pub(crate) fn running_in(&self, upstream: &UpstreamKey) -> Vec<Rc<Context>> {
         let running = self.running.borrow();
-        let of_life = running.values().filter(|one| one.upstream == *upstream);
-        of_life.cloned().collect()
+        let of_incarnation = running
+            .values()
+            .filter(|context| context.upstream == *upstream);
+        of_incarnation.cloned().collect()
     }
 
-    /// Returns how many requests run in the own upstream.
+    /// Returns the number of requests that run in the local upstream.
     pub(crate) fn len(&self) -> usize {
         self.running.borrow().len()
     }
 }
 
 impl Context {
-    /// Returns what is told of it if the upstream crashes now.
-    pub(crate) fn ran(&self) -> Execution {
+    /// Returns the evidence about this request if the upstream crashes now.
+    pub(crate) fn execution(&self) -> Execution {
         Execution {
             identity: self.identity,
             known_crashes: self.known_crashes,
@@ -129,46 +132,47 @@
         }
     }
 
-    /// Returns the class of a call made for the request, whatever that of its route.
+    /// Returns the class of a call made for the request; the importance of the call's route is
+    /// ignored.
     ///
-    /// Only the request counts: where the route of a read matters more, the reads of requests
-    /// that matter less would keep those out that matter as much as that route.
+    /// Otherwise, if the route of a read had a higher importance, the reads of unimportant requests
+    /// would displace requests of the route's own importance.
     pub(crate) fn call_class(&self) -> Class {
         self.class
     }
 
-    /// Returns the place of a call made for the request, whatever that of its route.
+    /// Returns the rank of a call made for the request; that of the call's route is ignored.
     pub(crate) fn call_rank(&self) -> Rank {
         self.rank
     }
 
-    /// Notes what became of a call made for the request.
-    pub(crate) fn record_result(&self, returned: &Response) {
-        let met = returned.observed_pressure();
-        self.pressure.set(self.pressure.get().max(met));
-        if returned.is_success() {
+    /// Records the result of a call made for the request.
+    pub(crate) fn record_result(&self, response: &Response) {
+        let pressure = response.observed_pressure();
+        self.pressure.set(self.pressure.get().max(pressure));
+        if response.is_success() {
             self.successful_calls.set(self.successful_calls.get() + 1);
         } else {
             self.failed_below.set(true);
         }
-        if returned.found_no_upstream() {
+        if response.found_no_upstream() {
             self.absent_below.set(true);
         }
     }
 }
 
-/// Keeps a request in the table for as long as it lives.
-pub(crate) struct Open {
+/// Guard that removes the request when dropped.
+pub(crate) struct Guard {
     contexts: Rc<Contexts>,
     key: AttemptKey,
     pub(crate) context: Rc<Context>,
 }
 
-impl Drop for Open {
+impl Drop for Guard {
     fn drop(&mut self) {
         let mut running = self.contexts.running.borrow_mut();
-        let is_own = |known: &Rc<Context>| Rc::ptr_eq(known, &self.context);
-        if running.get(&self.key).is_some_and(is_own) {
+        let is_same = |known: &Rc<Context>| Rc::ptr_eq(known, &self.context);
+        if running.get(&self.key).is_some_and(is_same) {
             running.remove(&self.key);
         }
     }
--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -1,4 +1,5 @@
-//! Calls are told by their ids only where that is checked.
+//! Attribution of calls to requests by their ids, and what calls inherit and
+//! report.
 
 use std::rc::Rc;
 
@@ -13,8 +14,8 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::request::{Request, Response};
 
-/// Returns a request with this id whose time is over at once.
-pub(crate) fn work(id: &str) -> Request {
+/// Returns a request with this id whose deadline is now.
+pub(crate) fn request(id: &str) -> Request {
     Request {
         workspace: None,
         completed_calls: 0,
@@ -34,10 +35,10 @@
     }
 }
 
-/// Returns what that many requests leave that run in a life of the upstream.
+/// Returns the contexts of this many requests in an incarnation of the upstream.
 pub(crate) fn contexts_of(upstream: &UpstreamKey, count: usize) -> Vec<Rc<Context>> {
     let contexts = Rc::new(Contexts::default());
-    let opened = (0..count).map(|number| contexts.open(&work(&number.to_string()), upstream));
+    let opened = (0..count).map(|number| contexts.open(&request(&number.to_string()), upstream));
     opened.map(|open| Rc::clone(&open.context)).collect()
 }
 
@@ -49,22 +50,22 @@
     contexts.parent(&AttemptKey::from(id)).is_some()
 }
 
-/// Reads of a request that matters less do not go before requests that matter as much as the route
-/// of the reads.
+/// Reads made for an unimportant request must not overtake requests of the importance of the read's
+/// route.
 #[test]
 fn calls_matter_as_their_request() {
     let contexts = Rc::new(Contexts::default());
     let low = Request {
         class: Importance::Low.into(),
         rank: Rank::LOWEST,
-        ..work("a")
+        ..request("a")
     };
     let open = contexts.open(&low, &upstream());
     assert_eq!(open.context.call_class(), Importance::Low.into());
     assert_eq!(open.context.call_rank(), Rank::LOWEST);
     let critical = Request {
         class: Importance::Critical.into(),
-        ..work("b")
+        ..request("b")
     };
     let open = contexts.open(&critical, &upstream());
     let class = open.context.call_class();
@@ -74,11 +75,11 @@
 #[test]
 fn told_by_prefix() {
     let contexts = Rc::new(Contexts::default());
-    let open = contexts.open(&work("a.b"), &upstream());
+    let open = contexts.open(&request("a.b"), &upstream());
     let parent = contexts
         .parent(&AttemptKey::from("a.b.c"))
         .expect("its parent runs");
-    assert!(parent.repeated && parent.rank == Rank::HIGHEST);
+    assert!(parent.is_retry && parent.rank == Rank::HIGHEST);
     assert!(has_parent(&contexts, "a.b.c.d"));
     for other in ["a.b", "a.bc", "a.bc.d", "a.c", "x.a.b.c", "", "."] {
         assert!(!has_parent(&contexts, other), "{other}");
@@ -90,19 +91,19 @@
 #[test]
 fn same_id_twice() {
     let contexts = Rc::new(Contexts::default());
-    let first = contexts.open(&work("a"), &upstream());
-    let second = contexts.open(&work("a"), &upstream());
+    let first = contexts.open(&request("a"), &upstream());
+    let second = contexts.open(&request("a"), &upstream());
     drop(first);
     assert!(has_parent(&contexts, "a.b"), "the second one still runs");
     drop(second);
     assert!(!has_parent(&contexts, "a.b"));
 }
 
-/// That a service at the bottom has no upstream is told through all services above it.
+/// A missing upstream at the end of a call chain is reported to all services above.
 #[test]
 fn absence_goes_up() {
     let contexts = Rc::new(Contexts::default());
-    let open = contexts.open(&work("a"), &upstream());
+    let open = contexts.open(&request("a"), &upstream());
     open.context
         .record_result(&Response::refused(Reason::Overload));
     assert!(!open.context.absent_below.get());
@@ -117,7 +118,7 @@
     assert!(nobody.found_no_upstream() && call.found_no_upstream());
 }
 
-/// A call that was served in the end found somebody.
+/// A request that succeeded in the end has found an upstream.
 #[test]
 fn absence_that_was_mended() {
     let served = Response {
--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -1,4 +1,4 @@
-//! Puts a gate together.
+//! Builder of the gate.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
 use sailtrack_net::task;
 use sailtrack_units::ServiceName;
 
-use super::crash::Watcher;
+use super::crash::Detector;
 use super::kinds::Kinds;
+use super::lock::Lock;
 use super::pool::Pool;
-use super::room::Room;
-use super::single::Single;
+use super::slots::Slots;
 use super::{Gate, Records, Upstream};
 use crate::contexts::Contexts;
 use crate::dialect::Dialect;
@@ -28,7 +28,7 @@
 }
 
 impl Builder {
-    /// Starts with the services that every gate needs.
+    /// Creates a builder with the required services.
     pub(crate) fn new(
         service: ServiceName,
         target: SocketAddr,
@@ -37,53 +37,53 @@
         (quarantine, wake): (Rc<Quarantine>, Rc<Wake>),
     ) -> Self {
         let rules = crate::node::ADMISSION_RULES;
-        let (room, kept) = Room::new();
-        task::spawn("room of the upstream", Rc::clone(&room).free_in_time(kept));
+        let (slots, retentions) = Slots::new();
+        task::spawn("slot expiry", Rc::clone(&slots).release_expired(retentions));
         let gate = Gate {
             dialect,
             service,
             upstream,
             admission: Rc::new(Admission::new(rules, Instant::now())),
-            outset: Throttle::new(Rc::default()),
+            throttle: Throttle::new(Rc::default()),
             contexts: Rc::default(),
             records: Rc::default(),
             events: Rc::default(),
             metrics: Rc::new(Metrics::new()),
-            longest: Cell::default(),
+            max_request_time: Cell::default(),
             kinds: Kinds::default(),
-            room,
+            slots,
             pool: Pool::new(target),
-            watcher: Watcher::new(target),
+            detector: Detector::new(target),
             quarantine,
             wake,
-            trials: Single::default(),
+            trials: Lock::default(),
             in_flight: Rc::default(),
         };
         Self { gate }
     }
 
-    /// Sets the count of what the node works on.
+    /// Sets the counter of requests that are in flight on this node.
     pub(crate) fn in_flight(mut self, in_flight: Rc<Cell<usize>>) -> Self {
         self.gate.in_flight = in_flight;
         self
     }
 
-    /// Sets who may enter the upstream.
+    /// Sets the admission control of the local upstream.
     pub(crate) fn admission(mut self, admission: Rc<Admission>, windows: Rc<Windows>) -> Self {
         self.gate.admission = admission;
-        self.gate.outset = Throttle::new(windows);
+        self.gate.throttle = Throttle::new(windows);
         self
     }
 
-    /// Sets what is remembered about requests.
-    pub(crate) fn memory(mut self, contexts: Rc<Contexts>, records: Rc<Records>) -> Self {
+    /// Sets the tables of running requests and of execution records.
+    pub(crate) fn tables(mut self, contexts: Rc<Contexts>, records: Rc<Records>) -> Self {
         self.gate.contexts = contexts;
         self.gate.records = records;
         self
     }
 
     /// Sets where decisions are logged and counted.
-    pub(crate) fn reports(mut self, events: Rc<Events>, metrics: Rc<Metrics>) -> Self {
+    pub(crate) fn telemetry(mut self, events: Rc<Events>, metrics: Rc<Metrics>) -> Self {
         self.gate.events = events;
         self.gate.metrics = metrics;
         self
--- a/crates/mesh/src/gate/crash.rs
+++ b/crates/mesh/src/gate/crash.rs
@@ -1,9 +1,11 @@
-//! Tells a crash of the own upstream from everything else that breaks connections to it.
+//! Distinguishes a crash of the local upstream from other causes of broken
+//! connections.
 //!
-//! An upstream that crashed refuses connections, or another life of it
-//! announces itself, also where something else holds its port and closes what
-//! comes. One that leaves has said so before; one that resets its
-//! connections, turns wrong bytes out or is slow accepts a new one.
+//! After a crash, the port refuses connections, or a new incarnation announces
+//! itself; the latter also covers a port that another process holds, which
+//! accepts connections and closes them. An upstream that shuts down normally
+//! has announced that. One that merely resets connections, sends malformed
+//! responses or is slow still accepts new connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,81 +15,86 @@
 use futures::future::{LocalBoxFuture, Shared};
 use sailtrack_units::Moment;
 
-use super::doubt::Doubt;
+use super::lock::{Guard, Lock};
 use super::port::{self, Finding};
-use super::single::{Single, Turn};
+use super::suspicion::Suspicion;
 use crate::contexts::Context;
 use crate::key::UpstreamKey;
 
-/// Finds out whether the own upstream has crashed.
-pub(super) struct Watcher {
+/// Detects crashes of the local upstream.
+pub(super) struct Detector {
     target: SocketAddr,
-    /// The connection that is being tried; all losses of the same moment wait for one.
+    /// The probe in progress; all connections lost at the same moment share it.
     probe: RefCell<Option<Shared<LocalBoxFuture<'static, Finding>>>>,
-    /// The port is watched; that serves all losses meanwhile.
-    watch: Single,
-    /// The last life that crashed.
-    crashed: RefCell<Option<Rc<UpstreamKey>>>,
-    /// What ran when connections of the present life broke, although its port took new ones.
-    doubt: RefCell<Option<Doubt>>,
+    /// Held while the port is watched; one watch serves all connections lost meanwhile.
+    watch: Lock,
+    /// The last incarnation that crashed.
+    last_crashed: RefCell<Option<Rc<UpstreamKey>>>,
+    /// The requests that ran when connections of the current incarnation broke although its port
+    /// accepted new ones.
+    suspicion: RefCell<Option<Suspicion>>,
 }
 
-impl Watcher {
+impl Detector {
     pub(super) fn new(target: SocketAddr) -> Self {
         Self {
             target,
             probe: RefCell::default(),
-            watch: Single::default(),
-            crashed: RefCell::default(),
-            doubt: RefCell::default(),
+            watch: Lock::default(),
+            last_crashed: RefCell::default(),
+            suspicion: RefCell::default(),
         }
     }
 
-    /// Returns true if this life is known to have crashed.
-    pub(super) fn has_seen(&self, upstream: &UpstreamKey) -> bool {
-        self.crashed.borrow().as_deref() == Some(upstream)
+    /// Returns true if this incarnation is known to have crashed.
+    pub(super) fn is_known_crash(&self, upstream: &UpstreamKey) -> bool {
+        self.last_crashed.borrow().as_deref() == Some(upstream)
     }
 
-    /// Notes that a life crashed; returns false if that was known.
-    pub(super) fn note(&self, upstream: &UpstreamKey) -> bool {
-        if self.has_seen(upstream) {
+    /// Records the crash of an incarnation; returns false if it was known already.
+    pub(super) fn record_crash(&self, upstream: &UpstreamKey) -> bool {
+        if self.is_known_crash(upstream) {
             return false;
         }
-        self.crashed.replace(Some(Rc::new(upstream.clone())));
+        self.last_crashed.replace(Some(Rc::new(upstream.clone())));
         true
     }
 
-    /// Notes what ran when a connection broke whose upstream still takes new ones.
-    pub(super) fn doubt(&self, upstream: &UpstreamKey, ran: &[Rc<Context>], now: Moment) {
-        let doubt = self
-            .take_doubt(now)
+    /// Records which requests ran when a connection broke although the upstream accepts new ones.
+    pub(super) fn suspect(&self, upstream: &UpstreamKey, running: &[Rc<Context>], now: Moment) {
+        let suspicion = self
+            .take_suspicion(now)
             .filter(|known| known.is_about(upstream));
-        let mut doubt = doubt.unwrap_or_else(|| Doubt::new(upstream.clone(), now));
-        doubt.add(ran, now);
-        self.doubt.replace(Some(doubt));
+        let mut suspicion = suspicion.unwrap_or_else(|| Suspicion::new(upstream.clone(), now));
+        suspicion.add(running, now);
+        self.suspicion.replace(Some(suspicion));
     }
 
-    /// Returns what is doubted, which is not doubted any more.
-    pub(super) fn take_doubt(&self, now: Moment) -> Option<Doubt> {
-        self.doubt.take().filter(|doubt| doubt.is_fresh(now))
+    /// Takes the suspicion out, if it has not expired.
+    pub(super) fn take_suspicion(&self, now: Moment) -> Option<Suspicion> {
+        self.suspicion
+            .take()
+            .filter(|suspicion| suspicion.is_current(now))
     }
 
-    /// Returns the life that is doubted.
-    pub(super) fn doubted(&self, now: Moment) -> Option<UpstreamKey> {
-        let doubt = self.doubt.borrow();
-        let doubt = doubt.as_ref().filter(|doubt| doubt.is_fresh(now));
-        doubt.map(|doubt| doubt.upstream().clone())
+    /// Returns the incarnation that is suspected of having crashed.
+    pub(super) fn suspected(&self, now: Moment) -> Option<UpstreamKey> {
+        let suspicion = self.suspicion.borrow();
+        let suspicion = suspicion
+            .as_ref()
+            .filter(|suspicion| suspicion.is_current(now));
+        suspicion.map(|suspicion| suspicion.upstream().clone())
     }
 
-    /// Takes in that a life answered a request that was sent to it at this moment.
-    pub(super) fn note_answer(&self, upstream: &UpstreamKey, sent: Moment) {
-        self.doubt
+    /// Drops the suspicion if the incarnation answered a request that was sent after the loss.
+    pub(super) fn record_response(&self, upstream: &UpstreamKey, sent: Moment) {
+        self.suspicion
             .borrow_mut()
-            .take_if(|doubt| doubt.is_about(upstream) && doubt.is_settled_by(sent));
+            .take_if(|suspicion| suspicion.is_about(upstream) && suspicion.is_refuted_by(sent));
     }
 
-    /// Tries a connection to the upstream.
-    pub(super) async fn look(&self) -> Finding {
+    /// Probes the port of the upstream, joining a probe that is in progress.
+    pub(super) async fn probe_port(&self) -> Finding {
         let known = self.probe.borrow().clone();
         let probe = match known {
             Some(probe) if probe.peek().is_none() => probe,
@@ -96,9 +103,9 @@
         probe.await
     }
 
-    /// Begins to watch the port, unless that is done already.
-    pub(super) fn begin_watch(&self) -> Option<Turn> {
-        self.watch.begin()
+    /// Starts watching the port, or returns `None` if it is being watched.
+    pub(super) fn begin_watch(&self) -> Option<Guard> {
+        self.watch.try_acquire()
     }
 
     /// Returns the address of the port.
--- a/crates/mesh/src/gate/exchange.rs
+++ b/crates/mesh/src/gate/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to the own upstream and its answer.
+//! One request to the local upstream and its response.
 
 #[cfg(test)]
 mod tests;
@@ -22,24 +22,24 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::request::Request;
 
-/// The most bytes of an answer's head.
-const HEAD_BYTES: usize = 64 * 1024;
-/// A longer body is passed on while it is read. Up to here an answer that breaks off can be
-/// repeated or refused, beyond it a hundred answers at once still fit into 13 MB.
-const WHOLE_BYTES: usize = 128 * 1024;
-/// How long an upstream may pause within a streamed body.
-const PIECE_TIME: Duration = Duration::from_secs(30);
-/// The most bytes of the body of an answer that is passed over.
-const FOREIGN_BYTES: usize = 1024 * 1024;
-/// The most answers to other requests that are passed over before the awaited one.
-const MOST_FOREIGN: u32 = 3;
+/// The maximum size of a response head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Longer bodies are streamed. A response that breaks off within this limit can be retried or
+/// refused; beyond it, a hundred concurrent responses still fit into 13 MB.
+const MAX_BUFFERED_BYTES: usize = 128 * 1024;
+/// The maximum pause of an upstream within a streamed body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// The maximum body size of a stale response, which is read and discarded.
+const MAX_STALE_BODY_BYTES: usize = 1024 * 1024;
+/// The maximum number of responses to other requests that are skipped before the expected one.
+const MAX_STALE_RESPONSES: u32 = 3;
 
-/// Why an exchange gave no answer that can be passed on.
+/// Why an exchange produced no response that can be forwarded.
 #[derive(Debug, Display)]
 pub(super) enum ExchangeError {
-    /// no connection, nothing was sent: {0}
+    /// the connection failed, nothing was sent: {0}
     Connect(DialError),
-    /// its time was over before it was sent
+    /// the deadline passed before the request was sent
     Late,
     /// the connection was lost: {0}
     Io(std::io::Error),
@@ -49,18 +49,18 @@
     Body(BodyError),
     /// {0}
     Head(HeadError),
-    /// the answer does not bear the signature of the upstream
+    /// the answer lacks the signature field of the upstream
     Unsigned,
-    /// the answer is in a coding that was not asked for
-    Coded,
+    /// the answer has a content encoding that was not requested
+    Encoded,
     /// the answer belongs to another request
-    Foreign,
-    /// the upstream was started again and knows nothing of the request
+    Mismatched,
+    /// the upstream was restarted and has no knowledge of the request
     Restarted,
 }
 
 impl ExchangeError {
-    /// Returns true if the connection broke before the answer was whole.
+    /// Returns true if the connection broke before the response was complete.
     pub(super) fn is_broken(&self) -> bool {
         match self {
             Self::Io(_) => true,
@@ -71,40 +71,44 @@
     }
 
     /// Returns true if the upstream may still work on the request.
-    pub(super) fn may_go_on(&self) -> bool {
+    pub(super) fn may_still_run(&self) -> bool {
         match self {
-            Self::Connect(_) | Self::Late | Self::Restarted | Self::Unsigned | Self::Coded => false,
-            Self::Io(_) | Self::Message(_) | Self::Body(_) | Self::Head(_) | Self::Foreign => true,
+            Self::Connect(_) | Self::Late | Self::Restarted | Self::Unsigned | Self::Encoded => {
+                false
+            }
+            Self::Io(_) | Self::Message(_) | Self::Body(_) | Self::Head(_) | Self::Mismatched => {
+                true
+            }
         }
     }
 
-    /// Returns true if the upstream cannot have seen the request.
+    /// Returns true if the upstream cannot have received the request.
     pub(super) fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_) | Self::Late)
     }
 }
 
-/// An answer of the upstream.
-pub(super) struct UpstreamAnswer {
+/// A response of the upstream.
+pub(super) struct UpstreamResponse {
     pub(super) head: ResponseHead,
     pub(super) body: Body,
 }
 
-/// The rest of a long body on the connection to the upstream.
+/// The remainder of a streamed body on the connection to the upstream.
 struct UpstreamSource {
     connection: Connection,
-    first: Option<Bytes>,
+    first_piece: Option<Bytes>,
     rest: BodyRest,
 }
 
 impl Source for UpstreamSource {
     fn next(&mut self) -> LocalBoxFuture<'_, Result<Option<Bytes>, Truncated>> {
         async {
-            if let Some(first) = self.first.take() {
-                return Ok(Some(first));
+            if let Some(first_piece) = self.first_piece.take() {
+                return Ok(Some(first_piece));
             }
             let piece = self.connection.reader.piece(&mut self.rest);
-            match timeout(PIECE_TIME, piece).await {
+            match timeout(BODY_READ_TIMEOUT, piece).await {
                 Ok(Ok(piece)) => Ok(piece),
                 Ok(Err(_)) | Err(_) => Err(Truncated),
             }
@@ -113,37 +117,46 @@
     }
 }
 
-/// Sends a request to this life of the upstream and returns its answer, a long body as a stream.
+/// Sends a request to an incarnation of the upstream and returns the response, with a long body as
+/// a stream.
 ///
 /// Dropping the future or the stream closes the connection, which tells the upstream to stop.
 pub(super) async fn exchange(
     pool: &Pool,
     fields: &FieldNames,
     upstream: &UpstreamKey,
-    work: &Request,
-) -> Result<UpstreamAnswer, ExchangeError> {
-    let taken = pool.take(!work.idempotent).await;
-    let mut connection = taken.map_err(ExchangeError::Connect)?;
-    // The node may have stood still meanwhile, and its caller may have been told.
-    if work.time_left().is_zero() {
+    request: &Request,
+) -> Result<UpstreamResponse, ExchangeError> {
+    let acquired = pool.acquire(!request.idempotent).await;
+    let mut connection = acquired.map_err(ExchangeError::Connect)?;
+    // The node may have been suspended since the request was admitted, and the caller may have been
+    // told that its time is over.
+    if request.time_left().is_zero() {
         return Err(ExchangeError::Late);
     }
-    let request = request_bytes(fields, upstream, work);
-    let (first, was_sent) = send(&mut connection, request).await?;
-    let is_head = work.head.starts_with(b"HEAD ");
-    let own = find_own(&mut connection, fields, &work.attempt, first, is_head).await?;
-    let Own {
+    let bytes = request_bytes(fields, upstream, request);
+    let (first_head, was_sent) = send(&mut connection, bytes).await?;
+    let is_head_request = request.head.starts_with(b"HEAD ");
+    let matched = read_matching_head(
+        &mut connection,
+        fields,
+        &request.attempt,
+        first_head,
+        is_head_request,
+    )
+    .await?;
+    let MatchedHead {
         head,
         framing,
         mut rest,
-    } = own;
-    let begun = read_begin(&mut connection, &mut rest).await?;
+    } = matched;
+    let prefix = read_prefix(&mut connection, &mut rest).await?;
     if rest.is_ended() {
         if was_sent && framing != Framing::UntilClose {
-            pool.give_back(connection, &head);
+            pool.release(connection, &head);
         }
-        let body = Body::Whole(begun);
-        return Ok(UpstreamAnswer { head, body });
+        let body = Body::Whole(prefix);
+        return Ok(UpstreamResponse { head, body });
     }
     let length = match framing {
         Framing::Length(length) => Some(length),
@@ -151,22 +164,22 @@
     };
     let source = UpstreamSource {
         connection,
-        first: Some(begun),
+        first_piece: Some(prefix),
         rest,
     };
     let body = Body::Stream(Stream::new(length, Box::new(source)));
-    Ok(UpstreamAnswer { head, body })
+    Ok(UpstreamResponse { head, body })
 }
 
-/// Sends a request and returns the first head that comes back, and whether all of the request was
-/// written by then: an upstream may answer and close before it has read a whole request.
+/// Sends a request and returns the first response head, and whether the request was completely
+/// written by then: an upstream may respond and close before it has read a whole request.
 async fn send(
     connection: &mut Connection,
-    request: BytesMut,
+    bytes: BytesMut,
 ) -> Result<(Bytes, bool), ExchangeError> {
     let Connection { reader, writer, .. } = connection;
-    let writing = std::pin::pin!(writer.write_all(request));
-    let reading = std::pin::pin!(reader.response_head(HEAD_BYTES));
+    let writing = std::pin::pin!(writer.write_all(bytes));
+    let reading = std::pin::pin!(reader.response_head(MAX_HEAD_BYTES));
     let (head, was_sent) = match select(writing, reading).await {
         Either::Left(((written, _), reading)) => {
             let head = reading.await;
@@ -180,13 +193,13 @@
     Ok((head.map_err(ExchangeError::Message)?, was_sent))
 }
 
-/// Reads a body to its end, or as far as it is held in memory.
-async fn read_begin(
+/// Reads a body to its end, or up to the limit for buffered bodies.
+async fn read_prefix(
     connection: &mut Connection,
     rest: &mut BodyRest,
 ) -> Result<Bytes, ExchangeError> {
     let mut body = BytesMut::new();
-    while body.len() < WHOLE_BYTES {
+    while body.len() < MAX_BUFFERED_BYTES {
         let piece = connection.reader.piece(rest).await;
         match piece.map_err(ExchangeError::Body)? {
             Some(piece) if body.is_empty() && rest.is_ended() => return Ok(piece),
@@ -197,71 +210,71 @@
     Ok(body.freeze())
 }
 
-fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, work: &Request) -> BytesMut {
-    let left = work.time_left();
-    let own = format!(
+fn request_bytes(fields: &FieldNames, upstream: &UpstreamKey, request: &Request) -> BytesMut {
+    let time_left = request.time_left();
+    let added = format!(
         "{}: {}\r\n{}: {}\r\n\r\n",
         fields.time_left_ms,
-        left.as_millis(),
+        time_left.as_millis(),
         fields.expected_upstream,
         upstream.id(),
     );
-    let mut bytes = BytesMut::with_capacity(work.head.len() + own.len() + work.body.len());
-    bytes.extend_from_slice(&work.head);
-    bytes.extend_from_slice(own.as_bytes());
-    bytes.extend_from_slice(&work.body);
+    let mut bytes = BytesMut::with_capacity(request.head.len() + added.len() + request.body.len());
+    bytes.extend_from_slice(&request.head);
+    bytes.extend_from_slice(added.as_bytes());
+    bytes.extend_from_slice(&request.body);
     bytes
 }
 
-/// The head of the awaited answer; its body has not been read.
-struct Own {
+/// The head of the expected response; its body has not been read.
+struct MatchedHead {
     head: ResponseHead,
     framing: Framing,
     rest: BodyRest,
 }
 
-/// Passes over answers until the one to the request with this id.
+/// Skips stale responses until the one to this request.
 ///
-/// An upstream may answer an earlier request twice; the second answer then
-/// stands before the one that is awaited.
-async fn find_own(
+/// An upstream may answer an earlier request twice; the second response then precedes the expected
+/// one on the connection.
+async fn read_matching_head(
     connection: &mut Connection,
     fields: &FieldNames,
     attempt: &AttemptKey,
-    first: Bytes,
-    is_head: bool,
-) -> Result<Own, ExchangeError> {
-    let mut bytes = first;
-    for _ in 0..=MOST_FOREIGN {
+    first_head: Bytes,
+    is_head_request: bool,
+) -> Result<MatchedHead, ExchangeError> {
+    let mut bytes = first_head;
+    for _ in 0..=MAX_STALE_RESPONSES {
         let head = ResponseHead::parse(&bytes).map_err(ExchangeError::Head)?;
-        let framing = response_framing(head.status, is_head, &head.fields);
+        let framing = response_framing(head.status, is_head_request, &head.fields);
         let framing = framing.map_err(ExchangeError::Head)?;
         let is_interim = head.status < 200;
         if !is_interim && belongs_to(&head, fields, attempt) {
-            check(&head, fields)?;
-            return Ok(Own {
+            verify(&head, fields)?;
+            return Ok(MatchedHead {
                 rest: BodyRest::new(framing),
                 head,
                 framing,
             });
         }
-        let body = connection.reader.body(framing, FOREIGN_BYTES).await;
+        let body = connection.reader.body(framing, MAX_STALE_BODY_BYTES).await;
         body.map_err(ExchangeError::Body)?;
         if !is_interim && !head.keeps_alive() {
-            return Err(ExchangeError::Foreign);
+            return Err(ExchangeError::Mismatched);
         }
         bytes = connection
             .reader
-            .response_head(HEAD_BYTES)
+            .response_head(MAX_HEAD_BYTES)
             .await
             .map_err(ExchangeError::Message)?;
     }
-    Err(ExchangeError::Foreign)
+    Err(ExchangeError::Mismatched)
 }
 
-/// Returns true if the answer is the one to the request with this id.
+/// Returns true if the response belongs to the request with this id.
 ///
-/// Only a refusal may come without an id; answers that come late or twice bear theirs.
+/// Only a refusal may lack the id; late and duplicate responses always carry it.
 fn belongs_to(head: &ResponseHead, fields: &FieldNames, attempt: &AttemptKey) -> bool {
     match head.fields.get(fields.attempt) {
         Some(id) => id == attempt.as_str(),
@@ -269,8 +282,9 @@
     }
 }
 
-/// Checks that a success really is the upstream's own body.
-fn check(head: &ResponseHead, fields: &FieldNames) -> Result<(), ExchangeError> {
+/// Checks that a successful response was produced by the upstream itself and that its body is not
+/// encoded.
+fn verify(head: &ResponseHead, fields: &FieldNames) -> Result<(), ExchangeError> {
     if !(200..300).contains(&head.status) {
         return Ok(());
     }
@@ -278,7 +292,7 @@
         return Err(ExchangeError::Unsigned);
     }
     if head.fields.get("content-encoding").is_some() {
-        return Err(ExchangeError::Coded);
+        return Err(ExchangeError::Encoded);
     }
     Ok(())
 }
--- a/crates/mesh/src/gate/exchange/tests.rs
+++ b/crates/mesh/src/gate/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! What reaches the upstream, and what does not.
+//! Requests that must not reach the upstream.
 
 use std::io::Read as _;
 use std::net::TcpListener;
@@ -9,7 +9,7 @@
 
 use super::exchange;
 use crate::clock;
-use crate::contexts::tests::work;
+use crate::contexts::tests::request;
 use crate::dialect::FieldNames;
 use crate::gate::pool::Pool;
 use crate::key::UpstreamKey;
@@ -28,26 +28,30 @@
     upstream: "upstream",
 };
 
-/// A node that stood still between the start of its connection and the end sends nothing: the
-/// upstream would run it for nobody, after its caller was told that its time is over.
+/// A node that is suspended while it connects must not send the request afterwards: the caller has
+/// been told that its time is over, so the upstream would work for nobody.
 #[test]
 fn nothing_sent_too_late() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let pool = Pool::new(listener.local_addr().expect("it is bound"));
-    let late = Request {
+    let pool = Pool::new(listener.local_addr().expect("a local address"));
+    let expired = Request {
         deadline: clock::now().before(Duration::from_millis(1)),
-        ..work("a")
+        ..request("a")
     };
     let upstream = UpstreamKey::new("i-1", None).expect("a sound id");
     let result = runtime::run(async {
-        let exchange = exchange(&pool, &FIELDS, &upstream, &late);
+        let exchange = exchange(&pool, &FIELDS, &upstream, &expired);
         timeout(Duration::from_secs(1), exchange).await
     });
-    let result = result.expect("a runtime").expect("no answer is awaited");
-    let error = result.err().expect("nothing answers");
+    let result = result
+        .expect("a runtime")
+        .expect("it must not wait for a response");
+    let error = result.err().expect("there is no response");
     assert!(error.is_unsent(), "{error}");
-    let (mut stream, _) = listener.accept().expect("it was connected");
+    let (mut stream, _) = listener.accept().expect("a connection");
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).expect("it ends");
+    stream
+        .read_to_end(&mut bytes)
+        .expect("the connection is closed");
     assert!(bytes.is_empty(), "{}", String::from_utf8_lossy(&bytes));
 }
--- a/crates/mesh/src/gate/loss.rs
+++ b/crates/mesh/src/gate/loss.rs
@@ -1,4 +1,4 @@
-//! Tells whether the own upstream ended when an answer of it was lost.
+//! Decides after a lost response whether the local upstream has crashed.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -7,88 +7,90 @@
 
 use super::Gate;
 use super::exchange::ExchangeError;
+use super::lock::Guard;
 use super::port::{self, Finding};
-use super::single::Turn;
 use crate::clock;
 use crate::contexts::Context;
 use crate::key::{AttemptKey, UpstreamKey};
 
 impl Gate {
-    /// Returns true if a life of the upstream has ended without having announced it.
+    /// Returns true if an incarnation of the upstream has ended without announcing it.
     ///
-    /// What else it ran has no answer yet, or was lost just before.
+    /// The crash suspects are all requests that are in flight there, and those whose connections
+    /// broke just before.
     pub(super) async fn has_crashed(
         self: &Rc<Self>,
         upstream: &UpstreamKey,
         attempt: &AttemptKey,
         error: &ExchangeError,
     ) -> bool {
-        if self.watcher.has_seen(upstream) {
+        if self.detector.is_known_crash(upstream) {
             return true;
         }
-        let has_ended = match error {
+        let is_down = match error {
             ExchangeError::Restarted => self.upstream.was_replaced(upstream),
-            error if error.is_broken() => self.look(attempt).await,
+            error if error.is_broken() => self.is_port_closed(attempt).await,
             _ => return false,
         };
-        if has_ended {
-            return self.note_crash(upstream);
+        if is_down {
+            return self.handle_crash(upstream);
         }
-        let ran = self.contexts.running_in(upstream);
-        self.watcher.doubt(upstream, &ran, clock::now());
-        if let Some(turn) = self.watcher.begin_watch() {
-            self.watch(turn, attempt.clone());
+        let running = self.contexts.running_in(upstream);
+        self.detector.suspect(upstream, &running, clock::now());
+        if let Some(guard) = self.detector.begin_watch() {
+            self.watch(guard, attempt.clone());
         }
         false
     }
 
-    /// Returns true if nothing listens any more where an answer was lost.
-    async fn look(&self, attempt: &AttemptKey) -> bool {
+    /// Returns true if the port refuses connections after a response was lost.
+    async fn is_port_closed(&self, attempt: &AttemptKey) -> bool {
         let began = Instant::now();
-        let finding = self.watcher.look().await;
+        let finding = self.detector.probe_port().await;
         self.events.note_look(attempt, finding, began.elapsed());
         finding == Finding::Refused
     }
 
-    /// Takes in that a life of the upstream ended; returns false if it had said that it would.
-    pub(super) fn note_crash(&self, upstream: &UpstreamKey) -> bool {
+    /// Handles the crash of an incarnation of the upstream; returns false if it had announced that
+    /// it would leave.
+    pub(super) fn handle_crash(&self, upstream: &UpstreamKey) -> bool {
         if self.upstream.has_left(upstream) {
             return false;
         }
-        if self.watcher.note(upstream) {
-            let ran = self.ran_at_end(upstream);
+        if self.detector.record_crash(upstream) {
+            let running = self.in_flight_at_crash(upstream);
             if !self.upstream.was_replaced(upstream) {
-                self.upstream.note_unreachable(Instant::now());
+                self.upstream.record_unreachable(Instant::now());
             }
-            self.quarantine.record_crash(upstream, &ran);
+            self.quarantine.record_crash(upstream, &running);
         }
         true
     }
 
-    /// Returns what ran when a life of the upstream ended: what has no answer yet, and what was
-    /// lost before the end was seen.
-    fn ran_at_end(&self, upstream: &UpstreamKey) -> Vec<Rc<Context>> {
-        let mut ran = self.contexts.running_in(upstream);
-        let doubt = self.watcher.take_doubt(clock::now());
-        if let Some(doubt) = doubt.filter(|doubt| doubt.is_about(upstream)) {
-            doubt.join_to(&mut ran);
+    /// Returns the requests that ran when an incarnation of the upstream ended: those in flight,
+    /// and those that were lost before the crash was detected.
+    fn in_flight_at_crash(&self, upstream: &UpstreamKey) -> Vec<Rc<Context>> {
+        let mut running = self.contexts.running_in(upstream);
+        let suspicion = self.detector.take_suspicion(clock::now());
+        if let Some(suspicion) = suspicion.filter(|suspicion| suspicion.is_about(upstream)) {
+            suspicion.add_to(&mut running);
         }
-        ran
+        running
     }
 
-    /// Watches the port of an upstream that broke a connection until it is known whether that was
-    /// a crash, without holding up the request that was lost.
-    fn watch(self: &Rc<Self>, turn: Turn, attempt: AttemptKey) {
+    /// Watches the port in the background after a connection broke, until it is known whether that
+    /// was a crash. The lost request does not wait for it.
+    fn watch(self: &Rc<Self>, guard: Guard, attempt: AttemptKey) {
         let gate = Rc::clone(self);
-        task::spawn("watch of the port", async move {
+        task::spawn("port watch", async move {
             let began = Instant::now();
-            let doubted = || gate.watcher.doubted(clock::now());
-            let finding = port::watch(gate.watcher.target(), || doubted().is_some()).await;
-            drop(turn);
+            let suspected = || gate.detector.suspected(clock::now());
+            let finding = port::watch(gate.detector.target(), || suspected().is_some()).await;
+            drop(guard);
             gate.events.note_look(&attempt, finding, began.elapsed());
-            // It may be a later life than the one whose loss began the watch.
-            if let Some(upstream) = doubted().filter(|_| finding == Finding::Refused) {
-                gate.note_crash(&upstream);
+            // The suspected incarnation may be a later one than that which started the watch.
+            if let Some(upstream) = suspected().filter(|_| finding == Finding::Refused) {
+                gate.handle_crash(&upstream);
             }
         });
     }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -1,27 +1,28 @@
-//! The only way to the own upstream.
+//! The single access point to the local upstream.
 //!
-//! Nothing else reaches the upstream, so what must hold for it is decided
-//! here without agreement: which life of it gets requests, how many at once,
-//! in which order, and that none runs twice that must not.
+//! All requests to the local upstream pass through this module, so its
+//! guarantees need no agreement between nodes: which incarnation of the
+//! upstream gets requests, how many run concurrently, in which order they are
+//! admitted, and that a non-idempotent request runs at most once.
 
+mod admitted;
 mod builder;
 mod crash;
-mod doubt;
-mod entered;
 mod exchange;
 mod kinds;
+mod lock;
 mod loss;
-mod patience;
 mod pool;
 mod port;
 mod records;
 mod refusal;
 mod report;
-mod room;
 mod send;
-mod silence;
-mod single;
+mod slots;
+mod suspicion;
+mod timeout;
 mod upstream;
+mod wait;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -45,44 +46,44 @@
 use crate::quarantine::Quarantine;
 use crate::request::{Request, Response};
 use crate::wake::Wake;
+use admitted::Admitted;
 pub(crate) use builder::Builder;
-use crash::Watcher;
-use entered::Entered;
+use crash::Detector;
 use kinds::Kinds;
+use lock::{Guard, Lock};
 use pool::Pool;
 pub(crate) use port::Finding;
-use records::Place;
+use records::Entry;
 pub(crate) use records::{Recalled, Records};
-use room::Room;
-use silence::until_told;
-use single::{Single, Turn};
+use slots::Slots;
 pub(crate) use upstream::Upstream;
+use wait::await_result;
 
-/// How much longer than its deadline the answer to a request that must not run twice is awaited:
-/// the upstream stops at the deadline and says so.
-const ANSWER_GRACE: Duration = Duration::from_millis(250);
+/// How long after its deadline a non-idempotent request still waits for its response: the upstream
+/// stops work at the deadline and then reports that.
+const RESPONSE_GRACE: Duration = Duration::from_millis(250);
 
-/// The only way to the own upstream.
+/// Admits requests to the local upstream and executes them there.
 pub(crate) struct Gate {
     dialect: Rc<dyn Dialect>,
     service: ServiceName,
     upstream: Rc<Upstream>,
     admission: Rc<Admission>,
-    outset: Rc<Throttle>,
+    throttle: Rc<Throttle>,
     contexts: Rc<Contexts>,
     records: Rc<Records>,
     events: Rc<Events>,
     metrics: Rc<Metrics>,
-    /// The longest time that any request may take.
-    longest: Cell<Duration>,
+    /// The longest timeout of any request.
+    max_request_time: Cell<Duration>,
     kinds: Kinds,
-    room: Rc<Room>,
+    slots: Rc<Slots>,
     pool: Pool,
-    watcher: Watcher,
+    detector: Detector,
     quarantine: Rc<Quarantine>,
     wake: Rc<Wake>,
-    /// A request that may end the upstream runs there alone among such requests.
-    trials: Single,
+    /// Held by the one request on trial that may run at a time, since it might crash the upstream.
+    trials: Lock,
     in_flight: Rc<Cell<usize>>,
 }
 
@@ -91,202 +92,225 @@
 }
 
 impl Gate {
-    /// Returns how full the own upstream is for requests that matter as much as this one, as far
-    /// as it is shared with those who call it from further up.
-    fn shared_pressure(&self, work: &Request) -> Pressure {
-        self.admission.shared_pressure(Instant::now(), work.class)
+    /// Returns the pressure on the local upstream for the request's class, as far as it is shared
+    /// with callers further up the call chain.
+    fn shared_pressure(&self, request: &Request) -> Pressure {
+        self.admission
+            .shared_pressure(Instant::now(), request.class)
     }
 
-    /// Brings a request to the own upstream and returns what became of it.
+    /// Executes a request on the local upstream and returns the result.
     ///
-    /// Dropping the future stops a request that may run again, and one that was not sent yet.
-    pub(crate) async fn run(self: &Rc<Self>, work: Request) -> Response {
-        let held = Held::new(&self.in_flight);
-        let (attempt, kind) = (work.attempt.clone(), work.kind.clone());
-        let class = work.class;
-        let mut returned = self.admit(work).await;
-        returned.body.hold(held);
+    /// Dropping the future cancels an idempotent request, and any request that has not been sent
+    /// yet.
+    pub(crate) async fn run(self: &Rc<Self>, request: Request) -> Response {
+        let in_flight_guard = Held::new(&self.in_flight);
+        let (attempt, kind) = (request.attempt.clone(), request.kind.clone());
+        let class = request.class;
+        let mut response = self.admit(request).await;
+        response.body.hold(in_flight_guard);
         let pressure = self.admission.pressure(Instant::now(), class);
-        if returned.outcome == Outcome::Unknown {
-            self.events.note_unknown(&attempt, &kind, returned.reason);
+        if response.outcome == Outcome::Unknown {
+            self.events.note_unknown(&attempt, &kind, response.reason);
         }
         self.metrics
-            .note_end(Stage::Gate, &kind, returned.outcome, returned.reason);
+            .note_end(Stage::Gate, &kind, response.outcome, response.reason);
         Response {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
-            path_pressure: returned.path_pressure.max(pressure),
-            ..returned
+            path_pressure: response.path_pressure.max(pressure),
+            ..response
         }
     }
 
-    async fn admit(self: &Rc<Self>, mut work: Request) -> Response {
+    async fn admit(self: &Rc<Self>, mut request: Request) -> Response {
         let now = Instant::now();
         if self.upstream.is_closed() {
-            return self.refuse(&work, Reason::Draining);
+            return self.refuse(&request, Reason::Draining);
         }
         self.wake.news().await;
-        // Its sender may not know yet what this node knows.
-        if self.quarantine.standing(&work.identity).is_quarantined() {
-            return self.refuse(&work, Reason::Quarantined);
+        // The sending node may not have received the evidence that this node has.
+        if self.quarantine.standing(&request.identity).is_quarantined() {
+            return self.refuse(&request, Reason::Quarantined);
         }
-        let Some(_) = self.open_upstream(&work, now) else {
-            return self.refuse(&work, Reason::NoUpstream);
+        let Some(_) = self.ready_upstream(&request, now) else {
+            return self.refuse(&request, Reason::NoUpstream);
         };
-        let place = if work.idempotent {
+        let entry = if request.idempotent {
             None
         } else {
-            match self.records.begin(&work.attempt, now) {
-                Some(place) => Some(place),
-                None => return self.recall(&work.attempt).await,
+            match self.records.begin(&request.attempt, now) {
+                Some(entry) => Some(entry),
+                None => return self.recall(&request.attempt).await,
             }
         };
-        let outset = match self.begin(&work, now) {
-            Ok(outset) => outset,
-            Err(hold) => return self.hold_back(&work, hold),
+        let throttle_permit = match self.acquire_throttle_permit(&request, now) {
+            Ok(throttle_permit) => throttle_permit,
+            Err(rejection) => return self.refuse_throttled(&request, rejection),
         };
-        let entered = match self.enter(&mut work, outset).await {
-            Ok(entered) => entered,
+        let admitted = match self.acquire_slot(&mut request, throttle_permit).await {
+            Ok(admitted) => admitted,
             Err(refused) => return refused,
         };
-        match place {
-            None => self.run_repeatable(&work, entered).await,
-            Some(place) => self.run_once(work, entered, place).await,
+        match entry {
+            None => self.run_idempotent(&request, admitted).await,
+            Some(entry) => self.run_once(request, admitted, entry).await,
         }
     }
 
-    /// Waits for a slot of the own upstream, and looks again at what may have changed meanwhile.
-    async fn enter(
+    /// Waits for a concurrency slot of the local upstream, then repeats the checks whose result may
+    /// have changed during the wait.
+    async fn acquire_slot(
         &self,
-        work: &mut Request,
-        outset: Option<ThrottlePermit>,
-    ) -> Result<Entered, Response> {
+        request: &mut Request,
+        throttle_permit: Option<ThrottlePermit>,
+    ) -> Result<Admitted, Response> {
         let permit = self
             .admission
-            .enter_in_class(work.class, work.rank, work.is_nested, work.time_left())
+            .enter_in_class(
+                request.class,
+                request.rank,
+                request.is_nested,
+                request.time_left(),
+            )
             .await;
-        let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
-        let Some(upstream) = self.open_upstream(work, Instant::now()) else {
-            return Err(self.refuse(work, Reason::Draining));
+        let permit = permit.map_err(|reason| self.refuse_at(request, reason, Bound::Queue))?;
+        let Some(upstream) = self.ready_upstream(request, Instant::now()) else {
+            return Err(self.refuse(request, Reason::Draining));
         };
         let trial = self
-            .begin_trial(work)
-            .map_err(|reason| self.refuse(work, reason))?;
-        Ok(Entered {
+            .begin_trial(request)
+            .map_err(|reason| self.refuse(request, reason))?;
+        Ok(Admitted {
             upstream,
             ended: self.upstream.ended(),
-            stay: self.room.enter(permit),
-            outset,
+            slot: self.slots.admit(permit),
+            throttle_permit,
             trial,
-            is_silent: Rc::default(),
+            is_given_up: Rc::default(),
         })
     }
 
-    /// Lets a request in by what is held against it at this moment: it may have waited, and its
-    /// sender may know less.
-    fn begin_trial(&self, work: &mut Request) -> Result<Option<Turn>, Reason> {
-        let standing = self.quarantine.standing(&work.identity);
-        work.known_crashes = work.known_crashes.max(standing.known_crashes());
+    /// Checks the quarantine state again, since it may have changed while the request waited and
+    /// the sending node may know less.
+    fn begin_trial(&self, request: &mut Request) -> Result<Option<Guard>, Reason> {
+        let standing = self.quarantine.standing(&request.identity);
+        request.known_crashes = request.known_crashes.max(standing.known_crashes());
         match standing {
             Standing::Clear | Standing::Suspected { .. } => Ok(None),
             Standing::OnTrial { .. } => {
-                let trial = self.trials.begin();
+                let trial = self.trials.try_acquire();
                 trial.map(Some).ok_or(Reason::OnTrial)
             }
             Standing::Quarantined { .. } => Err(Reason::Quarantined),
         }
     }
 
-    /// Runs a request that may run again, for as long as somebody waits for it.
-    async fn run_repeatable(self: &Rc<Self>, work: &Request, entered: Entered) -> Response {
-        let mut returned = self.send(work, &entered, work.deadline).await;
-        entered.note(&returned, self.shared_pressure(work));
-        returned.body.hold(entered);
-        returned
+    /// Executes an idempotent request, which is cancelled when the caller stops waiting.
+    async fn run_idempotent(self: &Rc<Self>, request: &Request, admitted: Admitted) -> Response {
+        let mut response = self.send(request, &admitted, request.deadline).await;
+        admitted.record_result(&response, self.shared_pressure(request));
+        response.body.hold(admitted);
+        response
     }
 
-    /// Runs a request that must not run twice to its end, whoever still waits for it.
-    async fn run_once(self: &Rc<Self>, work: Request, entered: Entered, place: Place) -> Response {
-        if !place.start() {
-            return self.refuse(&work, Reason::TicketClosed);
+    /// Executes a non-idempotent request to completion, even if the caller stops waiting.
+    async fn run_once(
+        self: &Rc<Self>,
+        request: Request,
+        admitted: Admitted,
+        entry: Entry,
+    ) -> Response {
+        if !entry.start() {
+            return self.refuse(&request, Reason::TicketClosed);
         }
         let gate = Rc::clone(self);
-        let deadline = work.deadline;
-        let is_silent = Rc::clone(&entered.is_silent);
+        let deadline = request.deadline;
+        let is_given_up = Rc::clone(&admitted.is_given_up);
         let (sender, receiver) = oneshot::channel();
-        let held = Held::new(&self.in_flight);
+        let in_flight_guard = Held::new(&self.in_flight);
         task::spawn("execution", async move {
-            let until = work.deadline + ANSWER_GRACE;
-            let mut returned = gate.send(&work, &entered, until).await;
-            place.end(&returned, Instant::now());
-            entered.note(&returned, gate.shared_pressure(&work));
-            returned.body.hold((entered, held));
-            // The caller may have left; the record has the answer.
-            let _ = sender.send(returned);
+            let until = request.deadline + RESPONSE_GRACE;
+            let mut response = gate.send(&request, &admitted, until).await;
+            entry.finish(&response, Instant::now());
+            admitted.record_result(&response, gate.shared_pressure(&request));
+            response.body.hold((admitted, in_flight_guard));
+            // The caller may have gone away; the execution record keeps the response.
+            let _ = sender.send(response);
         });
-        let returned = until_told(deadline, &is_silent, receiver).await;
-        returned.unwrap_or_else(|_| Response::unknown(Reason::Cancelled))
+        let response = await_result(deadline, &is_given_up, receiver).await;
+        response.unwrap_or_else(|_| Response::unknown(Reason::Cancelled))
     }
 
-    /// Takes in how many connections the own upstream accepts.
+    /// Sets the maximum number of connections that the local upstream accepts.
     pub(crate) fn limit_connections(&self, connections: usize) {
-        self.pool.bound(connections);
+        self.pool.limit_idle(connections);
     }
 
-    /// Takes in the longest time that any request may take.
+    /// Sets the longest timeout of any request.
     pub(crate) fn limit_request_time(&self, time: Duration) {
-        self.longest.set(time);
+        self.max_request_time.set(time);
     }
 
-    /// Takes in that another life of the upstream begins: unused connections lead to an earlier
-    /// one, and what broke its connections just before may have ended it.
+    /// Handles the start of a new incarnation of the upstream.
+    ///
+    /// Idle connections belong to the previous incarnation and are closed. If that one was
+    /// suspected of a crash after broken connections and was replaced without a farewell, the crash
+    /// is now confirmed.
     pub(crate) fn handle_new_incarnation(&self) {
         self.pool.clear();
-        self.room.clear();
-        self.adopt();
-        let earlier = self.watcher.doubted(clock::now());
+        self.slots.release_all();
+        self.reserve_leftovers();
+        let earlier = self.detector.suspected(clock::now());
         if let Some(earlier) = earlier.filter(|earlier| self.upstream.was_replaced(earlier)) {
-            self.note_crash(&earlier);
+            self.handle_crash(&earlier);
         }
     }
 
-    /// Keeps the room of what an earlier process of this node left in the upstream.
-    fn adopt(&self) {
-        let Some((load, at)) = self.upstream.take_first_load() else {
+    /// Reserves slots for requests of an earlier process of this node that still run in the
+    /// upstream.
+    fn reserve_leftovers(&self) {
+        let Some((load, at)) = self.upstream.take_initial_load() else {
             return;
         };
         let requests = load.requests();
         if requests > 0 {
             emit(&catalogue::REQUESTS_LEFT_BEHIND, &[("requests", &requests)]);
-            let until = at + self.longest.get();
-            self.room.adopt(&self.admission, requests, until);
+            let until = at + self.max_request_time.get();
+            self.slots
+                .reserve_reported(&self.admission, requests, until);
         }
     }
 
-    /// Returns what became of a request whose caller lost the answer.
+    /// Returns the result of a request whose caller lost the response.
     pub(crate) async fn recall(&self, attempt: &AttemptKey) -> Response {
         match self.records.recall(attempt, Instant::now()) {
-            Recalled::Ended(returned) => returned,
+            Recalled::Ended(response) => response,
             Recalled::Running(receiver) => {
-                let returned = receiver.await;
-                returned.unwrap_or_else(|_| Response::unknown(Reason::Connection))
+                let response = receiver.await;
+                response.unwrap_or_else(|_| Response::unknown(Reason::Connection))
             }
         }
     }
 
-    /// Returns the life of the upstream that may run the request.
-    fn open_upstream(&self, work: &Request, now: Instant) -> Option<UpstreamKey> {
-        if work.service != self.service {
+    /// Returns the incarnation of the upstream that may execute the request.
+    fn ready_upstream(&self, request: &Request, now: Instant) -> Option<UpstreamKey> {
+        if request.service != self.service {
             return None;
         }
         self.upstream.ready(now)
     }
 
-    /// Returns the place of a client's request among those of its kind.
-    fn begin(&self, work: &Request, now: Instant) -> Result<Option<ThrottlePermit>, Rejection> {
-        if work.is_nested {
+    /// Acquires a throttle permit for a request that comes directly from a client; calls made for a
+    /// running request need none.
+    fn acquire_throttle_permit(
+        &self,
+        request: &Request,
+        now: Instant,
+    ) -> Result<Option<ThrottlePermit>, Rejection> {
+        if request.is_nested {
             return Ok(None);
         }
-        self.outset.acquire(&work.kind, now).map(Some)
+        self.throttle.acquire(&request.kind, now).map(Some)
     }
 }
--- a/crates/mesh/src/gate/records.rs
+++ b/crates/mesh/src/gate/records.rs
@@ -1,7 +1,7 @@
-//! What became of the requests that must not run twice.
+//! Execution records of non-idempotent requests.
 //!
-//! Only the node beside an upstream can reach it, so its word about a request
-//! is final: a request that it has refused here it never lets run later.
+//! Only this node can reach its upstream, so its word about a request is final:
+//! a request that was recalled before it ran is refused from then on.
 
 #[cfg(test)]
 mod tests;
@@ -19,40 +19,41 @@
 use crate::key::AttemptKey;
 use crate::request::Response;
 
-/// How long the end of a request is remembered: no client waits longer than this.
-const MEMORY: Duration = Duration::from_mins(1);
-/// How long an answer is kept for a caller whose connection broke; it asks within two seconds.
-const ANSWER_MEMORY: Duration = Duration::from_secs(5);
-/// The most bytes of answers that are kept.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// How long a record is kept: no client waits longer than this.
+const RETENTION: Duration = Duration::from_mins(1);
+/// How long a response is kept for a caller whose connection broke; callers ask for it within two
+/// seconds.
+const RESPONSE_RETENTION: Duration = Duration::from_secs(5);
+/// The maximum total size of the responses that are kept.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Where a request is in its life.
+/// The execution state of a request.
 enum Record {
     /// It waits for admission and has not been sent.
     Waiting,
-    /// It was sent to the upstream; these wait for what becomes of it.
+    /// It was sent to the upstream; the senders notify those who wait for the result.
     Running(Vec<oneshot::Sender<Response>>),
-    /// It ran or may have run; the answer if it is still kept.
+    /// It ran or may have run, with the response if that is still kept.
     Ended(Option<Box<Response>>),
     /// It never ran and never will.
     Refused,
 }
 
-/// What is known about a request.
+/// The result of a recall.
 pub(crate) enum Recalled {
-    /// It is over.
+    /// The request has ended.
     Ended(Response),
-    /// It runs; the answer comes through the receiver.
+    /// The request is running; the receiver yields its result.
     Running(oneshot::Receiver<Response>),
 }
 
-/// What became of the requests that must not run twice.
+/// Execution records of non-idempotent requests.
 #[derive(Default)]
 pub(crate) struct Records {
     by_attempt: RefCell<HashMap<AttemptKey, Record>>,
     by_age: RefCell<VecDeque<(Instant, AttemptKey)>>,
-    answers: RefCell<VecDeque<(Instant, AttemptKey, usize)>>,
-    answer_bytes: Cell<usize>,
+    responses: RefCell<VecDeque<(Instant, AttemptKey, usize)>>,
+    response_bytes: Cell<usize>,
 }
 
 impl Service for Records {
@@ -60,24 +61,24 @@
 }
 
 impl Records {
-    /// Opens the record of a request, or returns nothing if there is one already.
-    pub(crate) fn begin(self: &Rc<Self>, attempt: &AttemptKey, now: Instant) -> Option<Place> {
-        self.forget_old(now);
+    /// Creates the record of a request, or returns `None` if there is one already.
+    pub(crate) fn begin(self: &Rc<Self>, attempt: &AttemptKey, now: Instant) -> Option<Entry> {
+        self.evict_expired(now);
         let mut records = self.by_attempt.borrow_mut();
         if records.contains_key(attempt) {
             return None;
         }
         records.insert(attempt.clone(), Record::Waiting);
         self.by_age.borrow_mut().push_back((now, attempt.clone()));
-        Some(Place {
+        Some(Entry {
             records: Rc::clone(self),
             attempt: attempt.clone(),
         })
     }
 
-    /// Returns what became of a request; one that never ran is refused for good.
+    /// Returns the result of a request. One that has not run is refused for good.
     pub(crate) fn recall(&self, attempt: &AttemptKey, now: Instant) -> Recalled {
-        self.forget_old(now);
+        self.evict_expired(now);
         let mut records = self.by_attempt.borrow_mut();
         let Some(record) = records.get_mut(attempt) else {
             records.insert(attempt.clone(), Record::Refused);
@@ -90,9 +91,9 @@
                 waiting.push(sender);
                 Recalled::Running(receiver)
             }
-            Record::Ended(Some(answer)) => {
+            Record::Ended(Some(response)) => {
                 let unknown = || Response::unknown(Reason::Connection);
-                Recalled::Ended(answer.try_clone().unwrap_or_else(unknown))
+                Recalled::Ended(response.try_clone().unwrap_or_else(unknown))
             }
             Record::Ended(None) => Recalled::Ended(Response::unknown(Reason::Connection)),
             Record::Waiting | Record::Refused => {
@@ -102,72 +103,77 @@
         }
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of records.
     pub(crate) fn len(&self) -> usize {
         self.by_attempt.borrow().len()
     }
 
-    /// Forgets a request that has not run; returns its record.
-    fn forget(&self, attempt: &AttemptKey) -> Option<Record> {
+    /// Removes the record of a request that has not run.
+    fn remove(&self, attempt: &AttemptKey) -> Option<Record> {
         self.by_attempt.borrow_mut().remove(attempt)
     }
 
-    /// Notes the end of a request that ran or may have run; returns its record before that.
-    fn close(&self, attempt: &AttemptKey, returned: &Response, now: Instant) -> Option<Record> {
-        let copy = returned.try_clone();
+    /// Records the end of a request that ran or may have run; returns the previous record.
+    fn record_end(
+        &self,
+        attempt: &AttemptKey,
+        response: &Response,
+        now: Instant,
+    ) -> Option<Record> {
+        let copy = response.try_clone();
         if copy.is_some() {
-            self.keep(attempt, returned, now);
+            self.retain_response(attempt, response, now);
         }
         let ended = Record::Ended(copy.map(Box::new));
         self.by_attempt.borrow_mut().insert(attempt.clone(), ended)
     }
 
-    fn keep(&self, attempt: &AttemptKey, answer: &Response, now: Instant) {
-        let size = answer.head.len() + answer.body.whole().map_or(0, Bytes::len);
-        self.answers
+    fn retain_response(&self, attempt: &AttemptKey, response: &Response, now: Instant) {
+        let size = response.head.len() + response.body.whole().map_or(0, Bytes::len);
+        self.responses
             .borrow_mut()
             .push_back((now, attempt.clone(), size));
-        self.answer_bytes.set(self.answer_bytes.get() + size);
+        self.response_bytes.set(self.response_bytes.get() + size);
     }
 
-    fn forget_old(&self, now: Instant) {
-        self.forget_answers(now);
+    fn evict_expired(&self, now: Instant) {
+        self.evict_responses(now);
         let mut by_age = self.by_age.borrow_mut();
-        let is_old =
-            |entry: &(Instant, AttemptKey)| now.saturating_duration_since(entry.0) >= MEMORY;
-        while by_age.front().is_some_and(is_old) {
+        let is_expired =
+            |entry: &(Instant, AttemptKey)| now.saturating_duration_since(entry.0) >= RETENTION;
+        while by_age.front().is_some_and(is_expired) {
             if let Some((_, attempt)) = by_age.pop_front() {
                 self.by_attempt.borrow_mut().remove(&attempt);
             }
         }
     }
 
-    fn forget_answers(&self, now: Instant) {
-        let mut answers = self.answers.borrow_mut();
-        while let Some((kept, attempt, size)) = answers.front() {
-            let is_old = now.saturating_duration_since(*kept) >= ANSWER_MEMORY;
-            if !is_old && self.answer_bytes.get() <= ANSWER_BYTES {
+    fn evict_responses(&self, now: Instant) {
+        let mut responses = self.responses.borrow_mut();
+        while let Some((added, attempt, size)) = responses.front() {
+            let is_expired = now.saturating_duration_since(*added) >= RESPONSE_RETENTION;
+            if !is_expired && self.response_bytes.get() <= MAX_RESPONSE_BYTES {
                 return;
             }
             if let Some(record) = self.by_attempt.borrow_mut().get_mut(attempt) {
                 *record = Record::Ended(None);
             }
-            self.answer_bytes.set(self.answer_bytes.get() - size);
-            answers.pop_front();
+            self.response_bytes.set(self.response_bytes.get() - size);
+            responses.pop_front();
         }
     }
 }
 
-/// The record of one request that is being brought to its end.
+/// Handle of the record of a request that is being executed.
 ///
-/// Dropped before the request was sent, it is forgotten.
-pub(crate) struct Place {
+/// Dropping it before the request was sent removes the record.
+pub(crate) struct Entry {
     records: Rc<Records>,
     attempt: AttemptKey,
 }
 
-impl Place {
-    /// Notes that the request is sent now; returns false if it was refused meanwhile.
+impl Entry {
+    /// Marks the request as sent; returns false if it has been refused meanwhile.
     pub(crate) fn start(&self) -> bool {
         let mut records = self.records.by_attempt.borrow_mut();
         match records.get_mut(&self.attempt) {
@@ -179,28 +185,28 @@
         }
     }
 
-    /// Notes what became of the request and tells all who wait for it.
+    /// Records the result and notifies everyone who waits for it.
     ///
-    /// One that the upstream turned away is forgotten: its caller may try again, here too. If the
-    /// caller asks for it instead, it is refused for good.
-    pub(crate) fn end(self, returned: &Response, now: Instant) {
-        let ended = if returned.outcome == Outcome::NotRun {
-            self.records.forget(&self.attempt)
+    /// If the upstream rejected the request, the record is removed so that the caller may retry,
+    /// also on this node. If the caller recalls the request instead, it is refused for good.
+    pub(crate) fn finish(self, response: &Response, now: Instant) {
+        let ended = if response.outcome == Outcome::NotRun {
+            self.records.remove(&self.attempt)
         } else {
-            self.records.close(&self.attempt, returned, now)
+            self.records.record_end(&self.attempt, response, now)
         };
         let Some(Record::Running(waiting)) = ended else {
             return;
         };
         for sender in waiting {
             let unknown = || Response::unknown(Reason::AnswerTooLarge);
-            // Who asked may have left.
-            let _ = sender.send(returned.try_clone().unwrap_or_else(unknown));
+            // The receiver may have been dropped.
+            let _ = sender.send(response.try_clone().unwrap_or_else(unknown));
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Entry {
     fn drop(&mut self) {
         let mut records = self.records.by_attempt.borrow_mut();
         match records.get_mut(&self.attempt) {
--- a/crates/mesh/src/gate/records/tests.rs
+++ b/crates/mesh/src/gate/records/tests.rs
@@ -1,4 +1,4 @@
-//! What is remembered about requests that must not run twice.
+//! Execution records of non-idempotent requests.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 use crate::key::AttemptKey;
 use crate::request::Response;
 
-fn text(returned: &Response) -> &[u8] {
-    returned.body.whole().expect("it is whole")
+fn text(response: &Response) -> &[u8] {
+    response.body.whole().expect("a buffered body")
 }
 
 fn recall(records: &Records, key: &AttemptKey, now: Instant) -> Response {
     match records.recall(key, now) {
-        Recalled::Ended(returned) => returned,
-        Recalled::Running(_) => panic!("it runs"),
+        Recalled::Ended(response) => response,
+        Recalled::Running(_) => panic!("the request is still running"),
     }
 }
 
@@ -43,9 +43,12 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
+    let entry = records.begin(&key, now).expect("a new request");
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
-    assert!(!place.start(), "it was refused while it waited");
+    assert!(
+        !entry.start(),
+        "it was refused while it waited for admission"
+    );
 }
 
 #[test]
@@ -55,18 +58,18 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    assert!(place.start());
+    let entry = records.begin(&key, now).expect("a new request");
+    assert!(entry.start());
     let Recalled::Running(mut receiver) = records.recall(&key, now) else {
-        panic!("it runs");
+        panic!("the request is still running");
     };
     let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::from("done")));
-    place.end(&answer, now);
-    let told = receiver
+    entry.finish(&answer, now);
+    let result = receiver
         .try_recv()
-        .expect("the sender lives")
-        .expect("it was told");
-    assert_eq!(text(&told), b"done");
+        .expect("the sender exists")
+        .expect("a result was sent");
+    assert_eq!(text(&result), b"done");
     assert_eq!(text(&recall(&records, &key, now)), b"done");
 }
 
@@ -77,9 +80,9 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    place.start();
-    place.end(
+    let entry = records.begin(&key, now).expect("a new request");
+    entry.start();
+    entry.finish(
         &Response::answered(200, Bytes::new(), Body::Whole(Bytes::from("done"))),
         now,
     );
@@ -97,13 +100,14 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    place.start();
-    drop(place);
+    let entry = records.begin(&key, now).expect("a new request");
+    entry.start();
+    drop(entry);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::Unknown);
 }
 
-/// The only upstream of a service turned it away once, and it was refused ever after.
+/// Guards against a request that is refused for good after the only upstream of its service has
+/// rejected it once.
 #[test]
 fn turned_away_may_try_again() {
     let (records, key, now) = (
@@ -111,13 +115,17 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    drop(place);
-    let place = records.begin(&key, now).expect("it was not admitted");
-    assert!(place.start());
-    place.end(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
-    let place = records.begin(&key, now).expect("it was turned away");
-    assert!(place.start());
+    let entry = records.begin(&key, now).expect("a new request");
+    drop(entry);
+    let entry = records
+        .begin(&key, now)
+        .expect("the unsent request left no record");
+    assert!(entry.start());
+    entry.finish(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
+    let entry = records
+        .begin(&key, now)
+        .expect("the rejected request left no record");
+    assert!(entry.start());
 }
 
 #[test]
@@ -127,9 +135,9 @@
         AttemptKey::from("a"),
         Instant::now(),
     );
-    let place = records.begin(&key, now).expect("it is new");
-    place.start();
-    place.end(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
+    let entry = records.begin(&key, now).expect("a new request");
+    entry.start();
+    entry.finish(&Response::rejected_by_upstream(Reason::UpstreamShed), now);
     assert_eq!(recall(&records, &key, now).outcome, Outcome::NotRun);
     assert!(
         records.begin(&key, now).is_none(),
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to the own upstream and judges what comes back.
+//! Sends a request to the local upstream and classifies the result.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -11,71 +11,74 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use super::Gate;
-use super::entered::Entered;
-use super::exchange::{ExchangeError, UpstreamAnswer, exchange};
-use super::silence::Waited;
+use super::admitted::Admitted;
+use super::exchange::{ExchangeError, UpstreamResponse, exchange};
 use super::upstream::Ended;
+use super::wait::Waited;
 use crate::clock;
 use crate::key::UpstreamKey;
 use crate::request::{Request, Response};
 
-/// The statuses that promise that a request did not run.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that by their definition promise that the request did not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 impl Gate {
-    /// Sends a request and waits for its answer until a moment at most.
+    /// Sends a request and waits for its response, until `until` at the latest.
     pub(super) async fn send(
         self: &Rc<Self>,
-        work: &Request,
-        entered: &Entered,
+        request: &Request,
+        admitted: &Admitted,
         until: Moment,
     ) -> Response {
-        let upstream = &entered.upstream;
-        let entry = self.contexts.open(work, upstream);
-        let exchange = exchange(&self.pool, self.dialect.fields(), upstream, work);
-        // Its state would otherwise be kept once in each of the futures that it passes through.
+        let upstream = &admitted.upstream;
+        let guard = self.contexts.open(request, upstream);
+        let exchange = exchange(&self.pool, self.dialect.fields(), upstream, request);
+        // Boxed, since each of the enclosing futures would otherwise reserve space for its state.
         let exchange = exchange.boxed_local();
-        let exchange = until_ended(exchange, entered.ended.clone());
-        let sent = self.begin_wait(work, entered);
+        let exchange = until_ended(exchange, admitted.ended.clone());
+        let sent = self.track(request, admitted);
         let result = self
-            .wait_for(&sent, &entry.context, clock::until(until, exchange))
+            .wait_for(&sent, &guard.context, clock::until(until, exchange))
             .await;
-        sent.note_end(&result, entered);
-        let returned = match result {
-            Waited::Over(Ok(Ok(answer))) => self.take_answer(work, entered, sent.at, answer),
-            Waited::Over(Ok(Err(error))) => self.take_error(work, upstream, &error).await,
-            Waited::Over(Err(_)) => Response::unknown(Reason::Deadline),
-            Waited::Silent => Response::unknown(Reason::Connection),
+        sent.record_end(&result, admitted);
+        let response = match result {
+            Waited::Finished(Ok(Ok(response))) => {
+                self.handle_response(request, admitted, sent.at, response)
+            }
+            Waited::Finished(Ok(Err(error))) => self.handle_error(request, upstream, &error).await,
+            Waited::Finished(Err(_)) => Response::unknown(Reason::Deadline),
+            Waited::GivenUp => Response::unknown(Reason::Connection),
         };
-        if returned.outcome == Outcome::Done {
-            self.quarantine.record_answer(&work.identity);
-            sent.note_answer(&returned, self.upstream.report.slowness());
+        if response.outcome == Outcome::Done {
+            self.quarantine.record_response(&request.identity);
+            sent.record_response(&response, self.upstream.report.slowdown());
         }
         Response {
-            path_pressure: entry.context.pressure.get(),
-            failed_below: entry.context.failed_below.get(),
-            absent_below: entry.context.absent_below.get(),
-            ..returned
+            path_pressure: guard.context.pressure.get(),
+            failed_below: guard.context.failed_below.get(),
+            absent_below: guard.context.absent_below.get(),
+            ..response
         }
     }
 
-    fn take_answer(
+    fn handle_response(
         &self,
-        work: &Request,
-        entered: &Entered,
+        request: &Request,
+        admitted: &Admitted,
         sent_at: Moment,
-        answer: UpstreamAnswer,
+        response: UpstreamResponse,
     ) -> Response {
-        let upstream = &entered.upstream;
-        let UpstreamAnswer { head, body } = answer;
+        let upstream = &admitted.upstream;
+        let UpstreamResponse { head, body } = response;
         let fields = self.dialect.fields();
         if let Some(value) = head.fields.all(fields.load).next()
             && head.status != 421
         {
             let (report, dialect) = (&self.upstream.report, &*self.dialect);
             let now = clock::now();
-            if let Some(load) = report.take(dialect, upstream, value, now) {
-                self.room.settle_soon(load.requests(), &entered.stay, now);
+            if let Some(load) = report.update(dialect, upstream, value, now) {
+                self.slots
+                    .reconcile_soon(load.requests(), &admitted.slot, now);
             }
         }
         let says_not_run = head.fields.get(fields.not_run).is_some();
@@ -85,55 +88,57 @@
             self.pool.clear();
             return Response::rejected_by_upstream(Reason::NoUpstream);
         }
-        self.watcher.note_answer(upstream, sent_at);
+        self.detector.record_response(upstream, sent_at);
         if says_not_run {
             self.admission.record_shed(Instant::now());
             return Response::rejected_by_upstream(Reason::UpstreamShed);
         }
-        if PROMISES.contains(&head.status) {
-            let reason = "a status that promises what the upstream does not say";
-            self.events.note_loss(&work.attempt, &reason);
+        if NOT_RUN_STATUSES.contains(&head.status) {
+            let reason =
+                "a status that implies that the request did not run, not confirmed by the upstream";
+            self.events.note_loss(&request.attempt, &reason);
             return Response::unknown(Reason::Connection);
         }
-        Response::answered(head.status, passed_on(&head), body)
+        Response::answered(head.status, forwarded_head(&head), body)
     }
 
-    async fn take_error(
+    async fn handle_error(
         self: &Rc<Self>,
-        work: &Request,
+        request: &Request,
         upstream: &UpstreamKey,
         error: &ExchangeError,
     ) -> Response {
-        self.events.note_loss(&work.attempt, error);
+        self.events.note_loss(&request.attempt, error);
         if matches!(error, ExchangeError::Late) {
             return Response::refused(Reason::Deadline);
         }
         if error.is_unsent() {
-            self.upstream.note_unreachable(Instant::now());
+            self.upstream.record_unreachable(Instant::now());
             return Response::refused(Reason::NoUpstream);
         }
-        if self.has_crashed(upstream, &work.attempt, error).await {
+        if self.has_crashed(upstream, &request.attempt, error).await {
             return Response::unknown(Reason::UpstreamCrashed);
         }
         Response::unknown(Reason::Connection)
     }
 }
 
-/// Waits for an answer of a life of the upstream for as long as that life may give one.
+/// Waits for a response until the incarnation of the upstream is known to have ended.
 ///
-/// An instance that lost power closes no connections, so only its successor shows that it ended.
+/// An instance that lost power does not close its connections, so only a new incarnation shows that
+/// the old one has ended.
 async fn until_ended(
-    exchange: impl Future<Output = Result<UpstreamAnswer, ExchangeError>>,
+    exchange: impl Future<Output = Result<UpstreamResponse, ExchangeError>>,
     ended: Ended,
-) -> Result<UpstreamAnswer, ExchangeError> {
+) -> Result<UpstreamResponse, ExchangeError> {
     match select(std::pin::pin!(exchange), ended).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => Err(ExchangeError::Restarted),
     }
 }
 
-/// Returns the status line of an answer with the fields that may be passed on.
-fn passed_on(head: &ResponseHead) -> Bytes {
+/// Returns the status line and the response fields that may be forwarded.
+fn forwarded_head(head: &ResponseHead) -> Bytes {
     let mut bytes = BytesMut::with_capacity(512);
     bytes.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
     bytes.extend_from_slice(&head.reason);
--- /dev/null
+++ b/crates/mesh/src/gate/slots.rs
@@ -0,0 +1,293 @@
+//! Concurrency slots of the local upstream, held until it has finished the
+//! requests.
+//!
+//! The upstream may still work on a request that was dropped on this node. The
+//! slot of such a request is retained until the upstream reports that it has
+//! finished, or until the time by which it must have finished or stopped.
+
+#[cfg(test)]
+mod tests;
+
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use futures::StreamExt as _;
+use futures::channel::mpsc;
+use monoio::time::sleep;
+use sailtrack_admission::{Admission, Decision, Permit};
+use sailtrack_log::{catalogue, emit};
+use sailtrack_net::task;
+use sailtrack_units::{Moment, Rank};
+
+use crate::clock::{self, LAST_LOOK};
+
+/// A request that was sent this long before a response came is assumed to have been read by the
+/// upstream when it wrote that response: many times the latency of the local connection.
+const READ_DELAY: Duration = Duration::from_millis(10);
+
+/// The slot of a request that was abandoned and may still run.
+struct Retained {
+    /// The sequence number of the request, in the order of sending.
+    sequence: u64,
+    /// Released when dropped.
+    #[allow(dead_code, reason = "it is held, not read")]
+    permit: Permit,
+}
+
+/// The concurrency slots of the local upstream.
+pub(super) struct Slots {
+    /// The requests that are waiting for their responses, by sequence number, with the time of
+    /// sending.
+    in_flight: RefCell<BTreeMap<u64, Moment>>,
+    retained: RefCell<VecDeque<Retained>>,
+    next_sequence: Cell<u64>,
+    /// Newly retained slots and their expiry, for the task that releases them.
+    retentions: mpsc::UnboundedSender<(Moment, u64)>,
+}
+
+impl Slots {
+    /// Returns the slots, and the receiver that [`Slots::release_expired`] needs.
+    pub(super) fn new() -> (Rc<Self>, mpsc::UnboundedReceiver<(Moment, u64)>) {
+        let (retentions, receiver) = mpsc::unbounded();
+        let slots = Self {
+            in_flight: RefCell::default(),
+            retained: RefCell::default(),
+            next_sequence: Cell::default(),
+            retentions,
+        };
+        (Rc::new(slots), receiver)
+    }
+
+    /// Releases retained slots when they expire.
+    ///
+    /// A single long-lived task does that: slots are retained when futures are dropped, which also
+    /// happens at process exit, when no task can be started any more.
+    pub(super) async fn release_expired(
+        self: Rc<Self>,
+        mut retentions: mpsc::UnboundedReceiver<(Moment, u64)>,
+    ) {
+        while let Some((until, sequence)) = retentions.next().await {
+            let slots = Rc::clone(&self);
+            task::spawn("retained slot", async move {
+                // This only ends by its deadline.
+                let _ = clock::until(until, std::future::pending::<()>()).await;
+                if slots.release(sequence) {
+                    log_released(1, "time", 0, slots.in_flight.borrow().len());
+                }
+            });
+        }
+    }
+
+    /// Returns the slot of a request that is about to be sent.
+    pub(super) fn admit(self: &Rc<Self>, permit: Permit) -> Slot {
+        Slot {
+            slots: Rc::clone(self),
+            permit: RefCell::new(Some(permit)),
+            sequence: Cell::default(),
+            state: Cell::new(State::Unsent),
+        }
+    }
+
+    /// Returns the number of retained slots.
+    #[cfg(test)]
+    pub(super) fn retained(&self) -> usize {
+        self.retained.borrow().len()
+    }
+
+    /// Reconciles retained slots with the number of requests, running and queued, that the upstream
+    /// reported in a response.
+    ///
+    /// It first waits a moment, so that responses written before that one are read as well.
+    pub(super) fn reconcile_soon(
+        self: &Rc<Self>,
+        reported: usize,
+        answered: &Slot,
+        received: Moment,
+    ) {
+        if self.retained.borrow().is_empty() {
+            return;
+        }
+        let (slots, sequence) = (Rc::clone(self), answered.sequence.get());
+        task::spawn("slot reconciliation", async move {
+            sleep(LAST_LOOK).await;
+            slots.reconcile(reported, sequence, received);
+        });
+    }
+
+    /// Releases retained slots of requests that the upstream no longer has, as reported in the
+    /// response to the request `answered`, at `received`.
+    ///
+    /// The report does not cover requests that the upstream had not read when it wrote the
+    /// response. So only slots of requests sent before the answered one are released, and in-flight
+    /// requests count towards the reported number only if the upstream must have read them.
+    fn reconcile(&self, reported: usize, answered: u64, received: Moment) {
+        let is_counted = |(sequence, sent): &(&u64, &Moment)| {
+            **sequence < answered || received.since(**sent) >= READ_DELAY
+        };
+        let counted = self.in_flight.borrow().iter().filter(is_counted).count();
+        let abandoned = reported.saturating_sub(counted);
+        let released = self.take_older(answered, abandoned);
+        log_released(released.len(), "load", reported, counted);
+        // Dropping a permit admits the next waiting request, which may call back into this module.
+        drop(released);
+    }
+
+    /// Removes the oldest retained slots of requests sent before `answered`, and leaves `remaining` of
+    /// them.
+    fn take_older(&self, answered: u64, remaining: usize) -> VecDeque<Retained> {
+        let mut retained = self.retained.borrow_mut();
+        let earlier = retained
+            .iter()
+            .filter(|one| one.sequence < answered)
+            .count();
+        let mut excess = earlier.saturating_sub(remaining);
+        if excess == 0 {
+            return VecDeque::new();
+        }
+        let (released, others) = retained.drain(..).partition(|one| {
+            let is_excess = excess > 0 && one.sequence < answered;
+            excess -= usize::from(is_excess);
+            is_excess
+        });
+        *retained = others;
+        released
+    }
+
+    /// Reserves slots for requests that the upstream reports from an earlier process of this node,
+    /// until the last of them must have ended. One slot is left free, since only the response to a
+    /// further request can report that they have ended.
+    pub(super) fn reserve_reported(
+        &self,
+        admission: &Rc<Admission>,
+        reported: usize,
+        until: Moment,
+    ) {
+        let limit = admission.limit(Instant::now()).saturating_sub(1);
+        for _ in 0..reported.min(limit) {
+            let remaining = until.since(clock::now());
+            let Decision::Admitted(permit) = admission.submit(Rank::LOWEST, false, remaining)
+            else {
+                return;
+            };
+            self.retain(self.sequence(), permit, until);
+        }
+    }
+
+    /// Releases all retained slots, as a new incarnation of the upstream has started.
+    pub(super) fn release_all(&self) {
+        let retained = self.retained.take();
+        drop(retained);
+    }
+
+    /// Retains a slot until a moment, unless the upstream reports before that the request has
+    /// ended.
+    fn retain(&self, sequence: u64, permit: Permit, until: Moment) {
+        self.retained
+            .borrow_mut()
+            .push_back(Retained { sequence, permit });
+        // The receiver is dropped only at process exit.
+        let _ = self.retentions.unbounded_send((until, sequence));
+    }
+
+    /// Returns the sequence number of the next request.
+    fn sequence(&self) -> u64 {
+        let sequence = self.next_sequence.get();
+        self.next_sequence.set(sequence + 1);
+        sequence
+    }
+
+    /// Releases a retained slot; returns false if it was released before.
+    fn release(&self, sequence: u64) -> bool {
+        let freed = {
+            let mut retained = self.retained.borrow_mut();
+            let place = retained.iter().position(|one| one.sequence == sequence);
+            place.and_then(|place| retained.remove(place))
+        };
+        freed.is_some()
+    }
+}
+
+fn log_released(requests: usize, reason: &str, reported: usize, in_flight: usize) {
+    if requests > 0 {
+        emit(
+            &catalogue::ROOM_FREED,
+            &[
+                ("requests", &requests),
+                ("because", &reason),
+                ("told", &reported),
+                ("open", &in_flight),
+            ],
+        );
+    }
+}
+
+/// The state of a request.
+#[derive(Debug, Clone, Copy)]
+enum State {
+    Unsent,
+    /// If dropped, the slot is retained until this moment.
+    InFlight(Moment),
+    /// The request was abandoned and its slot is retained.
+    Retained,
+    Released,
+}
+
+/// The slot of one request, released once the upstream has finished with the request.
+pub(super) struct Slot {
+    slots: Rc<Slots>,
+    permit: RefCell<Option<Permit>>,
+    /// Its sequence number, once it has been sent.
+    sequence: Cell<u64>,
+    state: Cell<State>,
+}
+
+impl Slot {
+    /// Marks the request as sent; if it is abandoned, the upstream may work on it until `until`.
+    pub(super) fn start(&self, now: Moment, until: Moment) {
+        self.sequence.set(self.slots.sequence());
+        let mut in_flight = self.slots.in_flight.borrow_mut();
+        in_flight.insert(self.sequence.get(), now);
+        self.state.set(State::InFlight(until));
+    }
+
+    /// Releases the slot: the upstream has finished the request or never received it.
+    pub(super) fn finish(&self) {
+        match self.state.replace(State::Released) {
+            State::InFlight(_) => self.forget_in_flight(),
+            State::Retained => {
+                self.slots.release(self.sequence.get());
+            }
+            State::Unsent | State::Released => {}
+        }
+    }
+
+    /// Marks the request as abandoned; the upstream may work on it until `until`.
+    pub(super) fn abandon(&self, until: Moment) {
+        if !matches!(self.state.get(), State::InFlight(_)) {
+            return;
+        }
+        self.forget_in_flight();
+        self.state.set(State::Released);
+        if let Some(permit) = self.permit.take() {
+            self.state.set(State::Retained);
+            self.slots.retain(self.sequence.get(), permit, until);
+        }
+    }
+
+    fn forget_in_flight(&self) {
+        self.slots
+            .in_flight
+            .borrow_mut()
+            .remove(&self.sequence.get());
+    }
+}
+
+impl Drop for Slot {
+    fn drop(&mut self) {
+        if let State::InFlight(until) = self.state.get() {
+            self.abandon(until);
+        }
+    }
+}
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -1,8 +1,10 @@
-//! What this node holds against requests under which upstreams ended, and what it tells others.
+//! Evidence against requests during which upstreams crashed, and its exchange
+//! between nodes.
 //!
-//! The node beside an upstream that crashed tells all others what ran there,
-//! before it answers those requests; each node weighs the same evidence by
-//! itself. Nodes that meet tell each other the verdicts that they know.
+//! Before it answers the requests that ran in a crashed upstream, the node next
+//! to that upstream broadcasts their identities to all other nodes. Each node
+//! evaluates the same evidence on its own. Nodes that connect to each other
+//! exchange the verdicts that they know.
 
 mod wire;
 
@@ -21,11 +23,11 @@
 use crate::metrics::Metrics;
 use crate::status::Status;
 
-/// The most requests that a node tells others of after one crash, those first that were there
-/// before: 26 bytes each, so 7 KB to each node, at any number of nodes.
-const MOST_REPORTED: usize = 256;
+/// The maximum number of requests reported after a crash; those with the most known crashes take
+/// precedence. At 26 bytes each this is 7 KB per receiving node, whatever the number of nodes.
+const MAX_REPORTED: usize = 256;
 
-/// What this node holds against requests under which upstreams ended.
+/// Evidence of this node against requests during which upstreams crashed.
 pub(crate) struct Quarantine {
     ledger: RefCell<Ledger>,
     status: Rc<Status>,
@@ -47,93 +49,101 @@
         }
     }
 
-    /// Returns what is held against a request.
+    /// Returns whether a request is clear, a suspect, on trial or in quarantine.
     pub(crate) fn standing(&self, identity: &Identity) -> Standing {
         let ledger = self.ledger.borrow();
-        // Nearly always nothing is held against any request, and no clock is read.
+        // Fast path without reading the clock: nearly always there is no evidence at all.
         if ledger.is_empty() {
             return Standing::Clear;
         }
         ledger.standing(identity, clock::now())
     }
 
-    /// Takes in that the own upstream crashed, and tells all other nodes.
-    pub(crate) fn record_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
-        self.events.note_crash(upstream, ran);
+    /// Records a crash of the local upstream and broadcasts the evidence to all other nodes.
+    pub(crate) fn record_crash(&self, upstream: &UpstreamKey, in_flight: &[Rc<Context>]) {
+        self.events.note_crash(upstream, in_flight);
         self.metrics.note_crash();
         let now = clock::now();
         let ledger = self.ledger.borrow();
-        let ran = ran.iter().map(|one| Execution {
-            succeeded_recently: ledger.succeeded_recently(&one.identity, now),
-            ..one.ran()
+        let in_flight = in_flight.iter().map(|context| Execution {
+            succeeded_recently: ledger.succeeded_recently(&context.identity, now),
+            ..context.execution()
         });
-        let mut ran: Vec<Execution> = ran.collect();
+        let mut in_flight: Vec<Execution> = in_flight.collect();
         drop(ledger);
-        ran.sort_by_key(|one| std::cmp::Reverse(one.known_crashes));
-        let is_whole = ran.len() <= MOST_REPORTED;
-        ran.truncate(MOST_REPORTED);
-        self.take_crash(&upstream.to_string(), &ran, is_whole);
-        self.status
-            .tell(&Body::Evidence(wire::crash(upstream, &ran, is_whole)));
+        in_flight.sort_by_key(|execution| std::cmp::Reverse(execution.known_crashes));
+        let is_complete = in_flight.len() <= MAX_REPORTED;
+        in_flight.truncate(MAX_REPORTED);
+        self.apply_crash(&upstream.to_string(), &in_flight, is_complete);
+        self.status.tell(&Body::Evidence(wire::encode_crash(
+            upstream,
+            &in_flight,
+            is_complete,
+        )));
     }
 
-    /// Takes in that a life of an upstream beside another node ended under requests that this one
-    /// had sent there, since the other node ended as well and could not tell.
-    pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, ran: &[Execution]) {
-        self.take_crash(&upstream.to_string(), ran, false);
-        self.status
-            .tell(&Body::Evidence(wire::crash(upstream, ran, false)));
+    /// Records and broadcasts a crash of another node's upstream, from the requests that this node
+    /// had sent there: that node has failed as well and can't report the crash.
+    pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, in_flight: &[Execution]) {
+        self.apply_crash(&upstream.to_string(), in_flight, false);
+        self.status.tell(&Body::Evidence(wire::encode_crash(
+            upstream, in_flight, false,
+        )));
     }
 
-    /// Takes in that a request was answered to its end.
+    /// Records that a request was answered completely, which clears it.
     pub(crate) fn record_success(&self, identity: &Identity) {
         let before = self
             .ledger
             .borrow_mut()
             .record_success(identity, clock::now());
         if before.is_restricted() {
-            self.events.note_cleared(identity, &"it ended well");
-            self.status.tell(&Body::Evidence(wire::cleared(identity)));
+            self.events.note_cleared(identity, &"it succeeded");
+            self.status
+                .tell(&Body::Evidence(wire::encode_cleared(identity)));
         }
     }
 
-    /// Takes in that the own upstream answered a request.
-    pub(crate) fn record_answer(&self, identity: &Identity) {
+    /// Records that the local upstream answered a request, without clearing it.
+    pub(crate) fn record_response(&self, identity: &Identity) {
         let mut ledger = self.ledger.borrow_mut();
         ledger.remember_success(identity, clock::now());
     }
 
-    /// Clears a request on an operator's word; returns true if something was held against it.
+    /// Clears a request on an operator's command; returns true if there was evidence against it.
     pub(crate) fn lift(&self, identity: &Identity) -> bool {
-        let was_known = self.ledger.borrow_mut().clear(identity, clock::now());
-        self.events.note_cleared(identity, &"an operator lifted it");
-        self.status.tell(&Body::Evidence(wire::cleared(identity)));
-        was_known
+        let had_evidence = self.ledger.borrow_mut().clear(identity, clock::now());
+        self.events.note_cleared(identity, &"lifted by an operator");
+        self.status
+            .tell(&Body::Evidence(wire::encode_cleared(identity)));
+        had_evidence
     }
 
-    /// Takes in what another node knows.
+    /// Merges evidence from another node.
     pub(crate) fn merge(&self, evidence: &Evidence) {
         let now = clock::now();
-        let (crash, cleared, held) = wire::read(evidence);
+        let (crash, cleared, verdicts) = wire::decode(evidence);
         if let Some(crash) = crash {
-            self.events.note_evidence(&crash.life, crash.ran.len());
-            self.take_crash(&crash.life, &crash.ran, crash.is_whole);
+            self.events
+                .note_evidence(&crash.incarnation, crash.in_flight.len());
+            self.apply_crash(&crash.incarnation, &crash.in_flight, crash.is_complete);
         }
         let mut ledger = self.ledger.borrow_mut();
         for identity in &cleared {
             if ledger.clear(identity, now) {
-                self.events.note_cleared(identity, &"another node said so");
+                self.events
+                    .note_cleared(identity, &"cleared by another node");
             }
         }
-        for record in &held {
+        for record in &verdicts {
             ledger.merge(record, now);
         }
     }
 
-    /// Returns what a node that connects is to know, if there is anything.
+    /// Returns the verdicts for a node that connects, or `None` if there are none.
     pub(crate) fn snapshot(&self) -> Option<Body> {
         let records = self.ledger.borrow().snapshot(clock::now());
-        (!records.is_empty()).then(|| Body::Evidence(wire::held(&records)))
+        (!records.is_empty()).then(|| Body::Evidence(wire::encode_verdicts(&records)))
     }
 
     /// Returns all requests that are on trial or in quarantine, the newest first.
@@ -141,13 +151,14 @@
         self.ledger.borrow().records(clock::now())
     }
 
-    /// Returns how many requests are suspected, on trial or in quarantine, and in quarantine.
+    /// Returns how many requests are suspected, on trial or in quarantine, and how many of these
+    /// are in quarantine.
     pub(crate) fn counts(&self) -> (usize, usize) {
         let ledger = self.ledger.borrow();
         (ledger.len(), ledger.quarantined_count(clock::now()))
     }
 
-    fn take_crash(&self, incarnation: &str, in_flight: &[Execution], is_complete: bool) {
+    fn apply_crash(&self, incarnation: &str, in_flight: &[Execution], is_complete: bool) {
         let crash = Crash {
             incarnation,
             in_flight,
