--- a/crates/mesh/src/configuration/current.rs
+++ b/crates/mesh/src/configuration/current.rs
@@ -1,4 +1,4 @@
-//! The configuration in force; it only ever moves up.
+//! The configuration in force. Its version never decreases.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -12,7 +12,7 @@
 use crate::configuration::Configuration;
 use crate::dialect::{Dialect, DialectError};
 
-/// From whom a configuration came.
+/// Where a configuration was received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum Source {
     /// store
@@ -21,15 +21,15 @@
     Peer,
 }
 
-/// The configuration in force, with its text for other nodes.
+/// The configuration in force, with its original text for peers.
 pub(crate) struct Current {
     dialect: Rc<dyn Dialect>,
     configuration: RefCell<Option<Rc<Configuration>>>,
     text: RefCell<Rc<str>>,
     version: Cell<ConfigVersion>,
-    /// The latest era of the store in which it was read there.
+    /// The latest era of the store in which this version was read from the store.
     era: Cell<Era>,
-    changed: RefCell<Vec<Box<dyn Fn()>>>,
+    callbacks: RefCell<Vec<Box<dyn Fn()>>>,
 }
 
 impl Service for Current {
@@ -44,13 +44,13 @@
             text: RefCell::new(Rc::from("")),
             version: Cell::default(),
             era: Cell::default(),
-            changed: RefCell::default(),
+            callbacks: RefCell::default(),
         }
     }
 
-    /// Calls `changed` after each new version.
-    pub(crate) fn on_change(&self, changed: impl Fn() + 'static) {
-        self.changed.borrow_mut().push(Box::new(changed));
+    /// Registers a callback that runs after each change of the configuration in force.
+    pub(crate) fn on_change(&self, callback: impl Fn() + 'static) {
+        self.callbacks.borrow_mut().push(Box::new(callback));
     }
 
     /// Returns the configuration in force, if there is one.
@@ -58,17 +58,17 @@
         self.configuration.borrow().clone()
     }
 
-    /// Returns the version in force, zero if there is none.
+    /// Returns the version in force; zero if there is none.
     pub(crate) fn version(&self) -> ConfigVersion {
         self.version.get()
     }
 
-    /// Returns the text of the version in force, as it was read.
+    /// Returns the original text of the version in force.
     pub(crate) fn text(&self) -> Rc<str> {
         Rc::clone(&self.text.borrow())
     }
 
-    /// Logs a configuration that cannot be read; the present version stays in force.
+    /// Logs that a configuration was rejected; the current version stays in force.
     pub(crate) fn log_rejected(&self, reason: &dyn fmt::Display) {
         let version = self.version.get();
         emit(
@@ -77,11 +77,13 @@
         );
     }
 
-    /// Takes a configuration into force if it is sound and newer than the present one: by its version
-    /// or, if a store that came back from a copy has other content under the same one, by its era.
+    /// Puts a configuration into force if it is valid and newer than the current one.
+    ///
+    /// It is newer if its version is higher. A store that was restored from a backup may also have
+    /// other content under the same version, which is newer if it was read in a later era.
     pub(crate) fn offer(&self, text: &str, source: Source) -> Result<(), DialectError> {
-        let read = self.dialect.configuration(text);
-        let configuration = read.inspect_err(|error| self.log_rejected(error))?;
+        let parsed = self.dialect.configuration(text);
+        let configuration = parsed.inspect_err(|error| self.log_rejected(error))?;
         let version = configuration.version.cmp(&self.version.get());
         let era = match source {
             Source::Store(era) => era,
@@ -102,8 +104,8 @@
         );
         *self.configuration.borrow_mut() = Some(Rc::new(configuration));
         *self.text.borrow_mut() = Rc::from(text);
-        for changed in self.changed.borrow().iter() {
-            changed();
+        for callback in self.callbacks.borrow().iter() {
+            callback();
         }
         Ok(())
     }
--- a/crates/mesh/src/configuration/fetch.rs
+++ b/crates/mesh/src/configuration/fetch.rs
@@ -1,4 +1,4 @@
-//! Asks other nodes for a configuration that the store does not bring.
+//! Fetches newer configurations from peers if they do not arrive from the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,23 +14,24 @@
 use crate::peer::Peers;
 use crate::watch::Watch;
 
-/// How long a node may take to give its configuration.
-const FETCH_TIME: Duration = Duration::from_millis(700);
-/// How long what is nearer is given to bring a version: for a node that follows the store that is
-/// the store, for the others a node of the own failure domain. Bytes between failure domains are
-/// the dearest, and asking both would move each configuration twice.
-const HEAD_START: Duration = Duration::from_millis(250);
+/// Timeout for fetching a configuration from a peer.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long to wait for a cheaper source of a version before fetching it from any peer. For a node
+/// that watches the store the cheaper source is the store, for others a peer in the same failure
+/// domain. Traffic between failure domains is the most expensive, and fetching from both sources
+/// would transfer each configuration twice.
+const CHEAPER_SOURCE_WAIT: Duration = Duration::from_millis(250);
 
-/// A node that has a newer configuration than this one.
+/// A peer that has a newer configuration than this node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Provider {
     pub(crate) name: NodeName,
     pub(crate) version: ConfigVersion,
-    /// It stands in the own failure domain.
+    /// Whether the peer is in the failure domain of this node.
     pub(crate) is_same_domain: bool,
 }
 
-/// Asks other nodes for configurations, for as long as the task lives.
+/// Fetches newer configurations from peers.
 pub(crate) struct Fetcher {
     pub(crate) peers: Rc<Peers>,
     pub(crate) current: Rc<Current>,
@@ -38,12 +39,13 @@
 }
 
 impl Fetcher {
+    /// Processes the queue of providers until it is closed.
     pub(crate) async fn run(self, mut providers: mpsc::Receiver<Provider>) {
         while let Some(provider) = providers.next().await {
             if !self.is_newer(&provider) {
                 continue;
             }
-            let provider = self.nearest(provider, &mut providers).await;
+            let provider = self.choose(provider, &mut providers).await;
             if self.is_newer(&provider) {
                 self.fetch(&provider).await;
             }
@@ -54,24 +56,29 @@
         provider.version > self.current.version()
     }
 
-    /// Returns whom to ask, after waiting for what is nearer. A node without any configuration
-    /// does not wait.
-    async fn nearest(&self, first: Provider, providers: &mut mpsc::Receiver<Provider>) -> Provider {
+    /// Waits for a cheaper source, then chooses the peer to fetch from. A node without any
+    /// configuration does not wait.
+    async fn choose(&self, first: Provider, providers: &mut mpsc::Receiver<Provider>) -> Provider {
         if self.current.get().is_none() {
             return first;
         }
         if self.watch.is_active() {
-            sleep(HEAD_START).await;
+            sleep(CHEAPER_SOURCE_WAIT).await;
             return first;
         }
-        // Nodes wait for different times and draw among those that have it by then. Otherwise all
-        // of a failure domain ask the same one: 38 times 300 KB of a large configuration hold up
-        // its requests for 0.4 s at 200 Mbit/s.
+        // Each node waits for a random time and then chooses randomly among the providers that it
+        // knows. Otherwise all nodes of a failure domain would fetch from the same peer: sending a
+        // large configuration of 300 KB to 38 nodes delays its requests by 0.4 s at 200 Mbit/s.
         let mut known = vec![first.clone()];
-        let pause = HEAD_START.mul_f64(rand::rng().random_range(0.0..1.0));
-        gather(pause, providers, &mut known).await;
+        let jitter = CHEAPER_SOURCE_WAIT.mul_f64(rand::rng().random_range(0.0..1.0));
+        collect(jitter, providers, &mut known).await;
         if !known.iter().any(|provider| provider.is_same_domain) {
-            gather(HEAD_START.saturating_sub(pause), providers, &mut known).await;
+            collect(
+                CHEAPER_SOURCE_WAIT.saturating_sub(jitter),
+                providers,
+                &mut known,
+            )
+            .await;
         }
         let newest = known.iter().map(|provider| provider.version).max();
         known.retain(|provider| Some(provider.version) == newest);
@@ -85,26 +92,26 @@
         let Some(link) = self.peers.get(&provider.name) else {
             return;
         };
-        let before = self.current.version();
-        // Without an answer the next node that says that it has this version is asked.
-        if let Ok(Some(config)) = timeout(FETCH_TIME, link.fetch(before)).await {
-            // What cannot be read is logged there, and the present version stays in force.
+        let version = self.current.version();
+        // After a failure the next peer that announces this version is tried.
+        if let Ok(Some(config)) = timeout(FETCH_TIMEOUT, link.fetch(version)).await {
+            // `offer` logs an invalid configuration and keeps the current version in force.
             let _ = self.current.offer(&config.text, Source::Peer);
         }
     }
 }
 
-/// Collects for a while who has a newer configuration.
-async fn gather(
+/// Collects providers from the queue for the given time.
+async fn collect(
     time: Duration,
     providers: &mut mpsc::Receiver<Provider>,
     known: &mut Vec<Provider>,
 ) {
-    let gathering = async {
+    let collecting = async {
         while let Some(provider) = providers.next().await {
             known.push(provider);
         }
     };
-    // It ends by its time only.
-    let _ = timeout(time, gathering).await;
+    // The loop ends by the timeout only.
+    let _ = timeout(time, collecting).await;
 }
--- a/crates/mesh/src/configuration/mod.rs
+++ b/crates/mesh/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! Where requests go and what may be done with them, as operators say.
+//! Configuration of the operators: routes, services, workspaces and limits.
 
 mod current;
 mod fetch;
@@ -18,36 +18,36 @@
 pub(crate) use split::Splitter;
 pub use workspace::{Credential, Workspace, WorkspaceError, Workspaces};
 
-/// The bounds on what a client may send.
+/// Limits on the requests and connections of clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// The most bytes of a request line with its fields.
+    /// Maximum size of a request head: the request line and the header fields.
     pub head_bytes: usize,
-    /// The most bytes of a body.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// How long a head may take from its first byte to its last.
+    /// Timeout for a request head, from its first byte to its last.
     pub head_time: Duration,
-    /// How long a connection may be unused.
+    /// Timeout for an idle connection.
     pub idle_time: Duration,
 }
 
-/// What is declared about one service.
+/// Settings of one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRules {
-    /// Where its upstreams say whether they are healthy.
+    /// Path of the health check of its upstreams.
     pub health_path: String,
-    /// The most connections that one of its upstreams accepts.
+    /// Maximum number of connections that one of its upstreams accepts.
     pub connections: usize,
 }
 
-/// One version of the whole configuration.
+/// One version of the complete configuration.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// Its version; a higher one replaces a lower one.
+    /// The version; a higher one replaces a lower one.
     pub version: ConfigVersion,
-    /// The bounds on what a client may send.
+    /// Limits on the requests and connections of clients.
     pub limits: ClientLimits,
-    /// The workspaces with their keys. Without any, requests need no key.
+    /// The workspaces with their keys. If `None`, requests need no key.
     pub workspaces: Option<Workspaces>,
     hosts: HashMap<String, HashMap<String, Rc<Route>>>,
     services: HashMap<ServiceName, ServiceRules>,
@@ -77,19 +77,19 @@
         self.services.insert(name, rules);
     }
 
-    /// Returns what is declared about a service.
+    /// Returns the settings of a service.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceRules> {
         self.services.get(name)
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     #[must_use]
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(HashMap::len).sum()
     }
 
-    /// Returns the longest time that any request may take.
+    /// Returns the longest request timeout of all routes.
     #[must_use]
     pub fn longest_timeout(&self) -> Duration {
         let routes = self.hosts.values().flat_map(HashMap::values);
@@ -97,9 +97,9 @@
         timeouts.max().unwrap_or_default()
     }
 
-    /// Returns the route of a request: the longest prefix that begins its path.
+    /// Returns the route of a request: the one with the longest prefix of its path.
     ///
-    /// Each prefix ends with a slash, so only as many are looked up as the path has slashes.
+    /// Prefixes end with a slash, so there is one lookup per slash in the path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = match self.hosts.get(host) {
--- a/crates/mesh/src/configuration/route.rs
+++ b/crates/mesh/src/configuration/route.rs
@@ -1,47 +1,47 @@
-//! One route.
+//! Routes: which services handle the requests under a path prefix.
 
 use std::time::Duration;
 
 use sailtrack_declaration::Repeat;
 use sailtrack_units::{Importance, KindName, ServiceName};
 
-/// How long a request may take if nothing is declared.
+/// Timeout of a request unless configured otherwise.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How many upstreams a request may be sent to if nothing is declared.
+/// Maximum number of upstreams that a request is sent to unless configured otherwise.
 const DEFAULT_ATTEMPTS: u32 = 1;
 
-/// The part of a route's requests that goes to one service.
+/// The share of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among those of all parts.
+    /// Its weight relative to the other shares.
     pub weight: u32,
 }
 
-/// Where the requests under one prefix go, and what may be done with them.
+/// The services and the request settings for one path prefix.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Its name, which stands for the kind of its requests.
+    /// The name, which is also the kind of its requests.
     pub name: KindName,
-    /// What the paths of its requests begin with; begins and ends with a slash.
+    /// The path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// Whether its requests need no key of a workspace.
+    /// Whether its requests need no workspace key.
     pub is_public: bool,
-    /// Whether its requests may run again.
+    /// Whether its requests may be executed more than once.
     pub repeat: Repeat,
-    /// How much its requests matter.
+    /// The importance of its requests.
     pub importance: Importance,
-    /// How long a request may be kept waiting.
+    /// The request timeout.
     pub timeout: Duration,
-    /// The most upstreams to which one request may be sent.
+    /// Maximum number of upstreams that one request is sent to.
     pub attempts: u32,
-    /// The services that share its requests.
+    /// The services that handle its requests, with their weights.
     pub split: Vec<Share>,
 }
 
 impl Route {
-    /// Starts to build a route; nothing may run again unless it is said.
+    /// Returns a builder for a route; by default its requests are not repeated.
     #[must_use]
     pub fn builder(name: KindName, prefix: impl Into<String>) -> RouteBuilder {
         RouteBuilder(Self {
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Returns true if its requests may run more than once.
+    /// Returns true if its requests may be executed more than once.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
         self.repeat == Repeat::Retry
@@ -68,49 +68,49 @@
 pub struct RouteBuilder(Route);
 
 impl RouteBuilder {
-    /// Lets requests in without the key of a workspace.
+    /// Sets whether requests are accepted without a workspace key.
     #[must_use]
     pub fn public(mut self, is_public: bool) -> Self {
         self.0.is_public = is_public;
         self
     }
 
-    /// Sets whether requests may run again.
+    /// Sets whether requests may be executed more than once.
     #[must_use]
     pub fn repeat(mut self, repeat: Repeat) -> Self {
         self.0.repeat = repeat;
         self
     }
 
-    /// Sets how much requests matter.
+    /// Sets the importance of requests.
     #[must_use]
     pub fn importance(mut self, importance: Importance) -> Self {
         self.0.importance = importance;
         self
     }
 
-    /// Sets how long a request may be kept waiting.
+    /// Sets the request timeout.
     #[must_use]
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.0.timeout = timeout;
         self
     }
 
-    /// Sets the most upstreams to which one request may be sent.
+    /// Sets the maximum number of upstreams that one request is sent to.
     #[must_use]
     pub fn attempts(mut self, attempts: u32) -> Self {
         self.0.attempts = attempts;
         self
     }
 
-    /// Adds a service that shares the requests.
+    /// Adds a service that handles a share of the requests.
     #[must_use]
     pub fn share(mut self, service: ServiceName, weight: u32) -> Self {
         self.0.split.push(Share { service, weight });
         self
     }
 
-    /// Returns the route.
+    /// Builds the route.
     #[must_use]
     pub fn build(self) -> Route {
         self.0
--- a/crates/mesh/src/configuration/split.rs
+++ b/crates/mesh/src/configuration/split.rs
@@ -1,4 +1,4 @@
-//! Divides the requests of a route among its services by weight.
+//! Splits the requests of a route among its services by weight.
 
 #[cfg(test)]
 mod tests;
@@ -12,21 +12,22 @@
 
 use crate::configuration::route::{Route, Share};
 
-/// How far each service of a route is behind its share.
+/// Round-robin state of one route.
 #[derive(Debug, Default)]
-struct Debts {
+struct Rotation {
     split: Vec<Share>,
-    owed: Vec<f64>,
+    /// The current weight of each share: how far its service is behind.
+    current: Vec<f64>,
 }
 
-/// Divides requests by smooth weighted round robin.
+/// Splits requests by smooth weighted round robin.
 ///
-/// A draw for each request would leave shares of small numbers far off: with
-/// 200 requests and a weight of one tenth the standard deviation is 2 in 100,
-/// with turns it is one request a node.
+/// A random choice for each request would be inaccurate for small numbers of
+/// requests: for 200 requests and a weight of 10 %, the standard deviation is
+/// 2 percentage points. With round robin the error is one request per node.
 #[derive(Debug, Default)]
 pub(crate) struct Splitter {
-    routes: RefCell<HashMap<KindName, Debts>>,
+    routes: RefCell<HashMap<KindName, Rotation>>,
 }
 
 impl Service for Splitter {
@@ -34,26 +35,26 @@
 }
 
 impl Splitter {
-    /// Returns the service whose turn it is.
+    /// Returns the service for the next request of a route.
     pub(crate) fn next(&self, route: &Route) -> Option<ServiceName> {
         if let [only] = route.split.as_slice() {
             return Some(only.service.clone());
         }
         let mut routes = self.routes.borrow_mut();
-        let debts = routes.entry(route.name.clone()).or_default();
-        if debts.split != route.split {
-            debts.restart(&route.split);
+        let rotation = routes.entry(route.name.clone()).or_default();
+        if rotation.split != route.split {
+            rotation.restart(&route.split);
         }
-        debts.next()
+        rotation.next()
     }
 }
 
-impl Debts {
-    /// Begins at a random place, so that nodes which start together do not turn together.
+impl Rotation {
+    /// Starts with random current weights, so that nodes that start together choose independently.
     fn restart(&mut self, split: &[Share]) {
         let total = f64::from(split.iter().map(|share| share.weight).sum::<u32>());
         let mut random = rand::rng();
-        self.owed = split
+        self.current = split
             .iter()
             .map(|_| random.random::<f64>() * total)
             .collect();
@@ -62,14 +63,14 @@
 
     fn next(&mut self) -> Option<ServiceName> {
         let total: u32 = self.split.iter().map(|share| share.weight).sum();
-        for (owed, share) in self.owed.iter_mut().zip(&self.split) {
-            *owed += f64::from(share.weight);
+        for (current, share) in self.current.iter_mut().zip(&self.split) {
+            *current += f64::from(share.weight);
         }
         let weighted = self.split.iter().enumerate();
         let (chosen, share) = weighted
             .filter(|(_, share)| share.weight > 0)
-            .max_by(|(one, _), (other, _)| self.owed[*one].total_cmp(&self.owed[*other]))?;
-        self.owed[chosen] -= f64::from(total);
+            .max_by(|(one, _), (other, _)| self.current[*one].total_cmp(&self.current[*other]))?;
+        self.current[chosen] -= f64::from(total);
         Some(share.service.clone())
     }
 }
--- a/crates/mesh/src/configuration/split/tests.rs
+++ b/crates/mesh/src/configuration/split/tests.rs
@@ -1,4 +1,4 @@
-//! Requests are divided by weight.
+//! Weighted split of requests.
 
 use crate::configuration::route::Route;
 use crate::configuration::split::Splitter;
--- a/crates/mesh/src/configuration/workspace.rs
+++ b/crates/mesh/src/configuration/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: on whose behalf clients ask, by which key, and how much they may ask.
+//! Workspaces with their keys, importance and rate limits.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,16 +10,16 @@
 use sailtrack_units::{Importance, WorkspaceName};
 use secrecy::{ExposeSecret as _, SecretString};
 
-/// The key of a workspace. It cannot be printed, and its text is wiped when it is dropped.
+/// A secret key of a workspace. Its text is never printed, and it is zeroed on drop.
 #[derive(Clone)]
 pub struct Credential(SecretString);
 
 impl Credential {
-    /// Returns a key if a field of a request can hold it: visible characters without spaces.
+    /// Creates a key; `None` if it is not a valid header value of visible ASCII without spaces.
     #[must_use]
     pub fn new(text: String) -> Option<Self> {
-        let is_sound = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic());
-        is_sound.then(|| Self(SecretString::from(text)))
+        let is_valid = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic());
+        is_valid.then(|| Self(SecretString::from(text)))
     }
 }
 
@@ -29,18 +29,18 @@
     }
 }
 
-/// On whose behalf clients ask.
+/// A workspace, on whose behalf clients send requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
-    /// Its name.
+    /// The name.
     pub name: WorkspaceName,
-    /// How much its requests matter, before what their routes say.
+    /// The importance of its requests; decides before that of the route in which order they are shed.
     pub importance: Option<Importance>,
-    /// How much it may ask of all nodes together; nothing if that is not bounded.
+    /// The rate limit over all nodes together; `None` means unlimited.
     pub limit: Option<Limit>,
 }
 
-/// Why a workspace cannot be added. Keys are never named.
+/// Why a workspace cannot be added. The messages never contain keys.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum WorkspaceError {
     /// another workspace has the name {0}
@@ -51,10 +51,11 @@
 
 impl std::error::Error for WorkspaceError {}
 
-/// A hash of a key under a secret of this process, which tells nothing of the key to who sees it.
+/// A keyed hash of a workspace key, under a random secret of this process, so that it does not
+/// reveal the key.
 type Digest = blake3::Hash;
 
-/// The workspaces of one configuration, found by their keys.
+/// The workspaces of one configuration, indexed by key and by name.
 #[derive(Clone)]
 pub struct Workspaces {
     secret: [u8; blake3::KEY_LEN],
@@ -96,27 +97,27 @@
         }
         for credential in credentials {
             let digest = self.digest(credential.0.expose_secret().as_bytes());
-            let before = self.by_key.insert(digest, Rc::clone(&workspace));
-            if let Some(before) = before.filter(|before| before.name != workspace.name) {
-                return Err(WorkspaceError::KeyShared(name, before.name.clone()));
+            let previous = self.by_key.insert(digest, Rc::clone(&workspace));
+            if let Some(other) = previous.filter(|other| other.name != workspace.name) {
+                return Err(WorkspaceError::KeyShared(name, other.name.clone()));
             }
         }
         Ok(())
     }
 
-    /// Returns the workspace that holds a key.
+    /// Returns the workspace to which a key belongs.
     #[must_use]
     pub fn find_by_key(&self, key: &[u8]) -> Option<&Rc<Workspace>> {
         self.by_key.get(&self.digest(key))
     }
 
-    /// Returns the workspace with a name.
+    /// Returns the workspace with the given name.
     #[must_use]
     pub fn find_by_name(&self, name: &WorkspaceName) -> Option<&Rc<Workspace>> {
         self.by_name.get(name)
     }
 
-    /// Returns every workspace.
+    /// Returns all workspaces.
     pub fn all(&self) -> impl Iterator<Item = &Rc<Workspace>> {
         self.by_name.values()
     }
