--- a/crates/mesh/src/contexts.rs
+++ b/crates/mesh/src/contexts.rs
@@ -17,11 +17,11 @@
 
 use sailtrack_admission::Pressure;
 use sailtrack_kernel::Service;
-use sailtrack_quarantine::{Identity, Ran};
+use sailtrack_quarantine::{Execution, Identity};
 use sailtrack_units::{Class, KindName, Rank, WorkspaceName};
 
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// Separates the id of a call from that of the request that it is made for.
 const SEPARATOR: char = '.';
@@ -44,9 +44,9 @@
     /// The greatest pressure that a call made for it met.
     pub(crate) pressure: Cell<Pressure>,
     /// Whether a call was made for it.
-    pub(crate) has_called: Cell<bool>,
+    pub(crate) has_made_calls: Cell<bool>,
     /// How many calls made for it were answered well.
-    pub(crate) answered: Cell<u32>,
+    pub(crate) successful_calls: Cell<u32>,
     /// Whether a call made for it failed,
     pub(crate) failed_below: Cell<bool>,
     /// and whether one found no upstream of its service, there or further down.
@@ -65,7 +65,7 @@
 
 impl Contexts {
     /// Remembers a request until the guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>, work: &Work, upstream: &UpstreamKey) -> Open {
+    pub(crate) fn open(self: &Rc<Self>, work: &Request, upstream: &UpstreamKey) -> Open {
         let context = Rc::new(Context {
             identity: work.identity,
             known_crashes: work.known_crashes,
@@ -74,10 +74,10 @@
             rank: work.rank,
             class: work.class,
             workspace: work.workspace.clone(),
-            repeated: work.repeated,
+            repeated: work.is_retry,
             pressure: Cell::default(),
-            has_called: Cell::new(false),
-            answered: Cell::new(0),
+            has_made_calls: Cell::new(false),
+            successful_calls: Cell::new(0),
             failed_below: Cell::new(false),
             absent_below: Cell::new(false),
         });
@@ -98,7 +98,7 @@
         let mut id = call.as_str();
         while let Some((parent, _)) = id.rsplit_once(SEPARATOR) {
             if let Some(context) = running.get(parent) {
-                context.has_called.set(true);
+                context.has_made_calls.set(true);
                 return Some(Rc::clone(context));
             }
             id = parent;
@@ -121,11 +121,11 @@
 
 impl Context {
     /// Returns what is told of it if the upstream crashes now.
-    pub(crate) fn ran(&self) -> Ran {
-        Ran {
+    pub(crate) fn ran(&self) -> Execution {
+        Execution {
             identity: self.identity,
-            known: self.known_crashes,
-            is_familiar: false,
+            known_crashes: self.known_crashes,
+            succeeded_recently: false,
         }
     }
 
@@ -143,15 +143,15 @@
     }
 
     /// Notes what became of a call made for the request.
-    pub(crate) fn note(&self, returned: &Returned) {
-        let met = returned.met_pressure();
-        self.pressure.set(self.pressure.get().greater(met));
+    pub(crate) fn record_result(&self, returned: &Response) {
+        let met = returned.observed_pressure();
+        self.pressure.set(self.pressure.get().max(met));
         if returned.is_success() {
-            self.answered.set(self.answered.get() + 1);
+            self.successful_calls.set(self.successful_calls.get() + 1);
         } else {
             self.failed_below.set(true);
         }
-        if returned.found_nobody() {
+        if returned.found_no_upstream() {
             self.absent_below.set(true);
         }
     }
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -2,30 +2,30 @@
 
 use std::time::Instant;
 
-use sailtrack_admission::Hold;
+use sailtrack_admission::Rejection;
 use sailtrack_wire::Reason;
 
 use super::Gate;
 use crate::events::{Bound, Refusal};
-use crate::returns;
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
+use crate::retry_after;
 
 impl Gate {
-    pub(super) fn hold_back(&self, work: &Work, hold: Hold) -> Returned {
+    pub(super) fn hold_back(&self, work: &Request, hold: Rejection) -> Response {
         match hold {
-            Hold::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
-            Hold::Path => Returned {
+            Rejection::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
+            Rejection::Breaker => Response {
                 absent_below: true,
                 ..self.refuse_at(work, Reason::NoUpstream, Bound::Path)
             },
         }
     }
 
-    pub(super) fn refuse(&self, work: &Work, reason: Reason) -> Returned {
+    pub(super) fn refuse(&self, work: &Request, reason: Reason) -> Response {
         self.refuse_at(work, reason, Bound::Nothing)
     }
 
-    pub(super) fn refuse_at(&self, work: &Work, reason: Reason, bound: Bound) -> Returned {
+    pub(super) fn refuse_at(&self, work: &Request, reason: Reason, bound: Bound) -> Response {
         self.events.note_refusal(&Refusal {
             attempt: &work.attempt,
             kind: &work.kind,
@@ -34,10 +34,10 @@
             calls: self.admission.in_flight() + self.admission.waiting(),
         });
         let after = match (bound, reason) {
-            (Bound::Path, _) => returns::after_absence(),
-            (_, Reason::OnTrial) => returns::after_trial(),
-            _ => returns::after_overload(self.admission.return_spread(Instant::now())),
+            (Bound::Path, _) => retry_after::no_upstream(),
+            (_, Reason::OnTrial) => retry_after::trial(),
+            _ => retry_after::overload(self.admission.retry_spread(Instant::now())),
         };
-        Returned::refused(reason).come_back(after)
+        Response::refused(reason).with_retry_after(after)
     }
 }
--- a/crates/mesh/src/gossip.rs
+++ b/crates/mesh/src/gossip.rs
@@ -6,7 +6,7 @@
 
 use futures::channel::mpsc;
 use monoio::time::sleep;
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 use sailtrack_units::{ConfigVersion, Era, Moment, NodeName};
 use sailtrack_wire::{Evidence, Member as MemberMessage, Presence};
 
@@ -64,7 +64,7 @@
         }
         let version = ConfigVersion(presence.config_version);
         let now = clock::now();
-        self.freshness.note_newest(version);
+        self.freshness.observe_version(version);
         let is_of_era = self.clock.observe_era(Era(presence.store_era), now);
         if presence.config_as_of_ms > 0 && is_of_era {
             let as_of = StoreTime::from_millis(presence.config_as_of_ms);
@@ -84,7 +84,7 @@
     }
 
     fn wants_store_time(&self) -> bool {
-        self.freshness.is_wanted() && self.clock.is_stale(clock::now())
+        self.freshness.is_bounded() && self.clock.is_stale(clock::now())
     }
 
     fn handle_store_time(&self, era: Era, at: Moment, at_most: StoreTime) {
@@ -94,12 +94,12 @@
     }
 
     fn handle_evidence(&self, evidence: &Evidence) {
-        self.quarantine.take(evidence);
+        self.quarantine.merge(evidence);
     }
 
-    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Ran]) {
+    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Execution]) {
         if !self.retired.contains(upstream) {
-            self.quarantine.note_lost(upstream, ran);
+            self.quarantine.record_remote_crash(upstream, ran);
         }
     }
 }
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -23,17 +23,17 @@
 use crate::freshness::Freshness;
 use crate::gate::{Builder as GateBuilder, Gate, Records, Upstream};
 use crate::gossip::Handler;
-use crate::life;
+use crate::incarnation;
 use crate::metrics::Metrics;
 use crate::node::{ADMISSION_RULES, Surroundings, store, tasks};
 use crate::peer::{Acceptor, Delegate, Peers};
 use crate::quarantine::Quarantine;
-use crate::quota::{Place as QuotaPlace, Quotas};
+use crate::quota::{Node as QuotaNode, Quotas};
 use crate::ready::ReadyPort;
 use crate::reload::Reload;
 use crate::retired::Retired;
 use crate::retry::Budget;
-use crate::routing::{Learned, Routing};
+use crate::routing::{Routing, Statistics};
 use crate::scrape::MetricsPort;
 use crate::settings::Settings;
 use crate::status::Status;
@@ -147,11 +147,11 @@
         table.find()?,
         settings.revoke_time.map(|time| time.0),
     ));
-    let life_number = life::begin();
+    let life_number = incarnation::generate();
     table.install(Quotas::new(
-        QuotaPlace {
-            node: identity.name.clone(),
-            life: life_number,
+        QuotaNode {
+            name: identity.name.clone(),
+            incarnation: life_number,
             domain: identity.domain.clone(),
         },
         settings.quota,
@@ -230,11 +230,11 @@
     table.install(Routing {
         name: identity.name.clone(),
         service: identity.service.clone(),
-        local: peers.local_load(&identity.service),
+        local_load: peers.local_load(&identity.service),
         peers,
         upstream: table.find()?,
         admission: table.find()?,
-        learned: Learned::default(),
+        statistics: Statistics::default(),
         metrics: table.find()?,
     });
     table.install(Dispatcher {
@@ -274,9 +274,9 @@
         metrics: table.find()?,
         in_flight: Rc::clone(in_flight),
         memory: Memory::new(settings.body_memory()),
-        ready_bytes: Rc::default(),
-        most_ready_bytes: Cell::new(settings.ready_memory()),
-        closed: Cell::new(false),
+        pending_response_bytes: Rc::default(),
+        max_pending_response_bytes: Cell::new(settings.ready_memory()),
+        is_closed: Cell::new(false),
         connections: Rc::default(),
     });
     table.install(Acceptor {
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -19,7 +19,7 @@
 use crate::metrics::Metrics;
 use crate::node::Surroundings;
 use crate::peer::Peers;
-use crate::quota::{Allocation, Asker, Quotas};
+use crate::quota::{Election, Fetcher as TokenFetcher, Quotas};
 use crate::reload::{Parts, Reload};
 use crate::settings::Settings;
 use crate::status::Status;
@@ -45,15 +45,15 @@
             .as_ref()
             .and_then(|known| known.service(&service));
         if let Some(rules) = rules {
-            gate.bound_connections(rules.connections);
+            gate.limit_connections(rules.connections);
         }
         if let Some(known) = &configuration {
-            gate.bound_time(known.longest_timeout());
+            gate.limit_request_time(known.longest_timeout());
         }
     });
     let gate = table.find::<Gate>()?;
     let upstream = table.find::<Upstream>()?;
-    upstream.listen_to_new(move || gate.note_new_life());
+    upstream.on_new_incarnation(move || gate.handle_new_incarnation());
     let metrics = table.find::<Metrics>()?;
     let counted = Rc::clone(&current);
     current.on_change(move || {
@@ -62,7 +62,7 @@
     let status = table.find::<Status>()?;
     let told = Rc::clone(&status);
     current.on_change(move || told.publish());
-    upstream.listen(move || status.publish());
+    upstream.on_availability_change(move || status.publish());
     Ok(())
 }
 
@@ -90,27 +90,27 @@
     let freshness = table.find::<Freshness>()?;
     let changed = Rc::clone(&current);
     current.on_change(move || {
-        quotas.take_limits(changed.get().as_deref());
-        freshness.note_version(changed.version(), clock::now());
+        quotas.set_limits(changed.get().as_deref());
+        freshness.apply_version(changed.version(), clock::now());
     });
-    let asker = Asker {
+    let fetcher = TokenFetcher {
         quotas: table.find()?,
         peers: table.find()?,
     };
-    task::spawn("token questions", asker.keep_asking(wishes));
-    let allocation = table.install(Allocation {
+    task::spawn("token questions", fetcher.run(wishes));
+    let election = table.install(Election {
         quotas: table.find()?,
         peers: table.find()?,
         watch: table.find()?,
         status: table.find()?,
         store: Rc::clone(&surroundings.store),
         started: Instant::now(),
-        renewed: Cell::default(),
-        missing: Cell::default(),
-        unreadable: Cell::default(),
-        resigned: Cell::new(false),
+        last_renewal: Cell::default(),
+        missing_since: Cell::default(),
+        unreadable_since: Cell::default(),
+        has_resigned: Cell::new(false),
     });
-    task::spawn("token allocation", allocation.keep());
+    task::spawn("token allocation", election.run());
     Ok(())
 }
 
@@ -121,7 +121,7 @@
     let peers = table.find::<Peers>()?;
     let life = table.find::<Status>()?.life;
     let started = Instant::now();
-    table.find::<Upstream>()?.listen_to_new(move || {
+    table.find::<Upstream>()?.on_new_incarnation(move || {
         if started.elapsed() > YOUNG_TIME {
             return;
         }
--- a/crates/mesh/src/peer/link/mod.rs
+++ b/crates/mesh/src/peer/link/mod.rs
@@ -16,7 +16,7 @@
 use futures::SinkExt as _;
 use futures::channel::{mpsc, oneshot};
 use monoio::time::{sleep, timeout};
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 use sailtrack_units::{ConfigVersion, Incarnation, Moment, Pace};
 use sailtrack_wire::{
     Body, Cancel, Chunk, Config, Fetch, Grant, Presence, Reason, Recall, Reply, Retire, State,
@@ -30,9 +30,9 @@
 use crate::peer::convert::{CHUNK, work_to_wire};
 use crate::peer::link::lost::Lost;
 use crate::peer::reassembly::Reassembly;
+use crate::request::{Request, Response};
 use crate::routing::PeerLoad;
 use crate::watch::Priority;
-use crate::work::{Returned, Work};
 
 /// How long a lost request is asked for before its fate is taken for unknown.
 const RECALL_TIME: Duration = Duration::from_millis(2500);
@@ -42,14 +42,14 @@
 /// What waits for a message of the other node.
 enum Pending {
     /// The request that it is the reply to, unless that was sent earlier.
-    Reply(oneshot::Sender<Returned>, Option<Ran>),
+    Reply(oneshot::Sender<Response>, Option<Execution>),
     Retired(oneshot::Sender<()>),
 }
 
 /// What became of a request that was handed to a link.
 pub(crate) enum Delivery {
     /// The other node answered.
-    Answered(Returned),
+    Answered(Response),
     /// Nothing was sent.
     Unsent,
     /// The connection to this life of the other node broke before the answer came.
@@ -199,12 +199,12 @@
     }
 
     /// Sends a request and waits for what becomes of it; dropping the future cancels it.
-    pub(crate) async fn forward(&self, work: &Work) -> Delivery {
+    pub(crate) async fn forward(&self, work: &Request) -> Delivery {
         let life = self.life.get();
-        let ran = Ran {
+        let ran = Execution {
             identity: work.identity,
-            known: work.known_crashes,
-            is_familiar: false,
+            known_crashes: work.known_crashes,
+            succeeded_recently: false,
         };
         let (exchange, receiver) = self.begin_reply(Some(ran));
         let guard = CancelGuard {
@@ -226,11 +226,11 @@
     /// Asks what became of a request that was sent to a life of the node.
     ///
     /// The answer is final: a request that never ran never will.
-    pub(crate) async fn recall(&self, attempt: &AttemptKey, life: Incarnation) -> Returned {
+    pub(crate) async fn recall(&self, attempt: &AttemptKey, life: Incarnation) -> Response {
         let asking = async {
             loop {
                 if self.is_open() && self.life.get() != life {
-                    return Returned::unknown(Reason::HomeGone);
+                    return Response::unknown(Reason::HomeGone);
                 }
                 let (exchange, receiver) = self.begin_reply(None);
                 let recall = Recall {
@@ -249,7 +249,7 @@
             }
         };
         let asked = timeout(RECALL_TIME, asking).await;
-        asked.unwrap_or_else(|_| Returned::unknown(Reason::Connection))
+        asked.unwrap_or_else(|_| Response::unknown(Reason::Connection))
     }
 
     /// Asks the node to remember that an upstream leaves; returns true if it does.
@@ -305,7 +305,7 @@
         exchange
     }
 
-    fn begin_reply(&self, ran: Option<Ran>) -> (u64, oneshot::Receiver<Returned>) {
+    fn begin_reply(&self, ran: Option<Execution>) -> (u64, oneshot::Receiver<Response>) {
         let exchange = self.next();
         let (sender, receiver) = oneshot::channel();
         let pending = Pending::Reply(sender, ran);
@@ -320,7 +320,7 @@
         outgoing.is_some_and(|outgoing| outgoing.try_send(body).is_ok())
     }
 
-    async fn send_work(&self, exchange: u64, work: &Work) -> bool {
+    async fn send_work(&self, exchange: u64, work: &Request) -> bool {
         if !self.is_open() || !self.send(Body::Forward(work_to_wire(exchange, work))) {
             return false;
         }
@@ -376,7 +376,7 @@
     fn take_presence(&self, presence: &Presence) {
         if !presence.upstream.is_empty() && *self.upstream.borrow() != presence.upstream {
             self.upstream.replace(presence.upstream.clone());
-            self.load.borrow_mut().renew();
+            self.load.borrow_mut().reset();
         }
         if let Some(member) = &presence.member {
             self.state.set(member.state());
@@ -387,7 +387,7 @@
         let percent = presence.pressure_percent;
         let pace = Pace::from_percent(presence.pace_percent).ok();
         let mut load = self.load.borrow_mut();
-        load.note_told(Instant::now(), percent, pace);
+        load.record_report(Instant::now(), percent, pace);
         drop(load);
         self.news.handle_presence(&self.member.name, presence);
         if self.news.wants_store_time() && self.open_pings.get() == 0 {
--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -12,7 +12,7 @@
 use monoio::time::sleep;
 use sailtrack_net::frames::{FrameReader, hello, write_frames};
 use sailtrack_net::{runtime, task};
-use sailtrack_quarantine::{Caller, Hasher, Ran};
+use sailtrack_quarantine::{Caller, Execution, Hasher};
 use sailtrack_units::{Class, Era, Incarnation, Moment, NodeName, Rank};
 use sailtrack_wire::{Body, Evidence, Member as MemberMessage, Pong, Presence, State};
 
@@ -22,8 +22,8 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::peer::Delegate;
 use crate::peer::link::{Delivery, Link};
+use crate::request::Request;
 use crate::store::StoreTime;
-use crate::work::Work;
 
 /// How often the nodes of a small mesh say what they are like.
 const SMALL_MESH_INTERVAL: Duration = Duration::from_millis(300);
@@ -51,7 +51,7 @@
 
     fn handle_evidence(&self, _evidence: &Evidence) {}
 
-    fn handle_crash(&self, _upstream: &UpstreamKey, _ran: &[Ran]) {}
+    fn handle_crash(&self, _upstream: &UpstreamKey, _ran: &[Execution]) {}
 }
 
 fn member(address: std::net::SocketAddr) -> Member {
@@ -63,10 +63,10 @@
     }
 }
 
-fn work() -> Work {
-    Work {
+fn work() -> Request {
+    Request {
         workspace: None,
-        progress: 0,
+        completed_calls: 0,
         class: Class::default(),
         attempt: AttemptKey::from("a1"),
         identity: Hasher::new(&[b"/"], Caller::default()).finish(),
@@ -75,8 +75,8 @@
         kind: "r-1".parse().expect("a name"),
         idempotent: true,
         rank: Rank::from_index(1),
-        begun: false,
-        repeated: false,
+        is_nested: false,
+        is_retry: false,
         deadline: clock::now() + Duration::from_secs(10),
         head: Bytes::from_static(b"GET / HTTP/1.1\r\n"),
         body: Bytes::new(),
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -17,7 +17,7 @@
 use rand::seq::IteratorRandom as _;
 use sailtrack_kernel::Service;
 use sailtrack_net::task;
-use sailtrack_quarantine::Ran;
+use sailtrack_quarantine::Execution;
 use sailtrack_units::{DomainName, Era, Incarnation, Moment, NodeName, ServiceName};
 use sailtrack_wire::{Evidence, Member as MemberMessage, Presence};
 
@@ -25,8 +25,8 @@
 pub(crate) use link::{Delivery, Link};
 
 use crate::directory::{Member, Observer};
+use crate::incarnation;
 use crate::key::UpstreamKey;
-use crate::life;
 use crate::routing::{Levels, PeerLoad};
 use crate::store::StoreTime;
 use crate::watch::Priority;
@@ -57,7 +57,7 @@
     fn handle_evidence(&self, evidence: &Evidence);
 
     /// Takes in that a life of an upstream ended unannounced, with these requests of this node.
-    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Ran]);
+    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Execution]);
 }
 
 /// The links to the nodes of one service.
@@ -106,7 +106,9 @@
     pub(crate) fn local_load(&self, service: &ServiceName) -> Rc<RefCell<PeerLoad>> {
         let mut by_service = self.by_service.borrow_mut();
         let placed = by_service.entry(service.clone()).or_default();
-        Rc::new(RefCell::new(PeerLoad::beside(&placed.same_domain_levels)))
+        Rc::new(RefCell::new(PeerLoad::with_levels(
+            &placed.same_domain_levels,
+        )))
     }
 
     /// Returns the links to nodes whose upstreams this node has sent requests to.
@@ -138,7 +140,8 @@
     pub(crate) fn majority_started_before(&self, life: Incarnation, time: Duration) -> bool {
         let links = self.links.borrow();
         let open: Vec<_> = links.values().filter(|link| link.is_open()).collect();
-        let is_older = |link: &&&Rc<Link>| life::time_between(link.incarnation(), life) >= time;
+        let is_older =
+            |link: &&&Rc<Link>| incarnation::start_difference(link.incarnation(), life) >= time;
         open.iter().filter(is_older).count() * 2 > open.len()
     }
 
@@ -239,7 +242,7 @@
         } else {
             (&mut placed.other_domains, &placed.other_domain_levels)
         };
-        link.load.replace(PeerLoad::beside(levels));
+        link.load.replace(PeerLoad::with_levels(levels));
         links.push(Rc::clone(&link));
         let name = member.name.clone();
         self.links.borrow_mut().insert(name, Rc::clone(&link));
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Chooses which upstream of a service gets a request.
 
-mod learned;
 mod load;
+mod statistics;
 
 use std::cell::{Cell, RefCell};
 use std::fmt::Display;
@@ -11,19 +11,19 @@
 use sailtrack_admission::Admission;
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_placement::{Candidate, Side, Sides, choose};
+use sailtrack_placement::{Candidate, Candidates, Locality, choose};
 use sailtrack_quarantine::Identity;
 use sailtrack_units::{Class, KindName, NodeName, ServiceName};
 
-pub(crate) use learned::Learned;
-use learned::Learning;
 use load::tells_time;
 pub(crate) use load::{Levels, PeerLoad};
+use statistics::History;
+pub(crate) use statistics::Statistics;
 
 use crate::gate::Upstream;
 use crate::metrics::Metrics;
 use crate::peer::{Group, Link, Peers};
-use crate::work::{Returned, Work};
+use crate::request::{Request, Response};
 
 /// Where a request goes.
 #[derive(Clone)]
@@ -52,9 +52,9 @@
     pub(crate) upstream: Rc<Upstream>,
     pub(crate) admission: Rc<Admission>,
     /// What is known about the own upstream.
-    pub(crate) local: Rc<RefCell<PeerLoad>>,
+    pub(crate) local_load: Rc<RefCell<PeerLoad>>,
     /// What is known about services.
-    pub(crate) learned: Learned,
+    pub(crate) statistics: Statistics,
     pub(crate) metrics: Rc<Metrics>,
 }
 
@@ -66,27 +66,30 @@
     /// Returns where a request goes, leaving out the nodes that were tried.
     ///
     /// Nodes that failed lately are left out too, unless there is no other one.
-    pub(crate) fn choose(&self, work: &Work, tried: &[NodeName]) -> Option<Target> {
+    pub(crate) fn choose(&self, work: &Request, tried: &[NodeName]) -> Option<Target> {
         let now = Instant::now();
         let placed = self.peers.for_service(&work.service).unwrap_or_default();
-        let learning = self.learned.of(&work.service);
+        let history = self.statistics.of(&work.service);
         let is_own = self.takes(&work.service, tried, now);
-        let need = learning.times.borrow().need(&work.kind, work.time_left());
+        let need = history
+            .times
+            .borrow()
+            .estimate(&work.kind, work.time_left());
         let levels = [&placed.same_domain_levels, &placed.other_domain_levels];
         let levels = levels.map(|levels| levels.borrow().at(now, work.class));
-        let sides = Sides {
+        let sides = Candidates {
             // The own upstream comes after the other near ones.
-            near: placed.same_domain.len() + usize::from(is_own),
-            far: placed.other_domains.len(),
-            look: |side, place| match link(&placed, side, place) {
+            same_domain: placed.same_domain.len() + usize::from(is_own),
+            other_domains: placed.other_domains.len(),
+            lookup: |side, place| match link(&placed, side, place) {
                 Some(link) => look(link, work.class, tried, now),
                 None => Some(self.look_at_own(work.class, now)),
             },
-            emptier: levels[0] - levels[1],
-            recent: &learning.recent,
+            pressure_gap: levels[0] - levels[1],
+            shortlist: &history.recent,
         };
         let (side, place) = choose(&sides, &need, &mut rand::rng())?;
-        if side == Side::Far && sides.near > 0 {
+        if side == Locality::OtherDomain && sides.same_domain > 0 {
             self.metrics.note_left_domain(&work.service);
         }
         let link = link(&placed, side, place);
@@ -114,15 +117,15 @@
     }
 
     /// Notes that a request goes to a target; the guard notes its end.
-    pub(crate) fn begin(&self, work: &Work, target: &Target) -> Outstanding {
+    pub(crate) fn begin(&self, work: &Request, target: &Target) -> Outstanding {
         let owner = match target {
-            Target::Local => Owner::Local(Rc::clone(&self.local)),
+            Target::Local => Owner::Local(Rc::clone(&self.local_load)),
             Target::Remote(link) => Owner::Remote(Rc::clone(link)),
         };
         owner.with(|load| load.outstanding += 1);
         Outstanding {
             owner,
-            learning: self.learned.of(&work.service),
+            history: self.statistics.of(&work.service),
             class: work.class,
             kind: work.kind.clone(),
             began: Instant::now(),
@@ -139,16 +142,16 @@
     fn look_at_own(&self, class: Class, now: Instant) -> Candidate {
         let pressure = self.admission.pressure(now, class);
         let slots = self.upstream.slots();
-        let local = self.local.borrow();
+        let local = self.local_load.borrow();
         local.candidate(now, slots, class, Some(pressure))
     }
 }
 
 /// Returns the link in a place, or nothing for the own upstream.
-fn link(placed: &Group, side: Side, place: usize) -> Option<&Rc<Link>> {
+fn link(placed: &Group, side: Locality, place: usize) -> Option<&Rc<Link>> {
     match side {
-        Side::Near => placed.same_domain.get(place),
-        Side::Far => placed.other_domains.get(place),
+        Locality::SameDomain => placed.same_domain.get(place),
+        Locality::OtherDomain => placed.other_domains.get(place),
     }
 }
 
@@ -188,7 +191,7 @@
 /// A request that is on its way to a target.
 pub(crate) struct Outstanding {
     owner: Owner,
-    learning: Rc<Learning>,
+    history: Rc<History>,
     class: Class,
     kind: KindName,
     began: Instant,
@@ -197,7 +200,7 @@
 
 impl Outstanding {
     /// Notes what became of the request.
-    pub(crate) fn note(&self, returned: &Returned) {
+    pub(crate) fn note(&self, returned: &Response) {
         self.is_noted.set(true);
         let now = Instant::now();
         let pause = self.owner.with(|load| load.note(now, self.class, returned));
@@ -212,10 +215,10 @@
         }
     }
 
-    fn learn(&self, returned: Option<&Returned>) {
+    fn learn(&self, returned: Option<&Response>) {
         let now = Instant::now();
         let time = now.saturating_duration_since(self.began);
-        let mut times = self.learning.times.borrow_mut();
+        let mut times = self.history.times.borrow_mut();
         self.owner
             .with(|load| load.note_time(now, &mut times, (self.class, &self.kind), time, returned));
     }
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -93,7 +93,7 @@
         let now = Instant::now();
         let used = self.peers.with_known_load();
         let shown = used.iter().map(|link| {
-            let (slowness, pace) = link.load.borrow().shown(now);
+            let (slowness, pace) = link.load.borrow().slowness_and_pace(now);
             Shown {
                 node: link.member.name.clone(),
                 service: link.member.service.clone(),
@@ -112,9 +112,9 @@
             format!(
                 "{} crashes={} last_s={} left_s={}\n",
                 record.identity,
-                record.generation,
+                record.consecutive_crashes,
                 record.age.as_secs(),
-                record.left.as_secs()
+                record.remaining.as_secs()
             )
         });
         lines.collect()
