--- a/crates/mesh/src/announcement/error.rs
+++ b/crates/mesh/src/announcement/error.rs
@@ -1,4 +1,4 @@
-//! Why a message or a row tells nothing about the own upstream.
+//! Errors of announcements and of rows of retired upstreams.
 
 use std::net::SocketAddr;
 
@@ -9,27 +9,27 @@
 use crate::dialect::DialectError;
 use crate::key::KeyError;
 
-/// Why a message is not one of the own upstream.
+/// Why a message is not an announcement of this node's upstream.
 #[derive(Debug, Display)]
 pub(crate) enum AnnouncementError {
     /// {0}
     Dialect(DialectError),
-    /// the upstream beside this node is of service {own}, not {told}
+    /// the upstream of this node belongs to service {expected}, not {announced}
     Service {
-        /// The service of the own upstream.
-        own: ServiceName,
+        /// The service of this node's upstream.
+        expected: ServiceName,
         /// The service in the message.
-        told: ServiceName,
+        announced: ServiceName,
     },
-    /// the upstream beside this node is at {own}, not at {told}
+    /// the upstream of this node is at {expected}, not at {announced}
     Address {
-        /// Where the own upstream is.
-        own: SocketAddr,
+        /// The address of this node's upstream.
+        expected: SocketAddr,
         /// The address in the message.
-        told: SocketAddr,
+        announced: SocketAddr,
     },
-    /// the upstream beside this node tells when it was started, this message does not
-    Start,
+    /// the start time of the upstream is missing, though earlier messages had it
+    MissingStart,
 }
 
 impl std::error::Error for AnnouncementError {}
@@ -43,7 +43,7 @@
     }
 }
 
-/// Why a row among those of upstreams that left names no life.
+/// Why a row of the table of retired upstreams is invalid.
 #[derive(Debug, Display)]
 pub(crate) enum RowError {
     /// {0}
@@ -52,8 +52,8 @@
     Removed,
     /// {0}
     Key(KeyError),
-    /// the life in it has another id than the row
-    OtherId,
+    /// the upstream id in the row differs from the key
+    IdMismatch,
 }
 
 impl std::error::Error for RowError {}
--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -1,4 +1,4 @@
-//! The port on which the own upstream announces itself.
+//! The port on which this node's upstream announces itself.
 
 mod error;
 mod retirement;
@@ -28,18 +28,18 @@
 use crate::retired::Retired;
 use crate::store::{Clock, Store};
 
-/// How long an upstream may take to say who it is.
-const PROBE_TIME: Duration = Duration::from_secs(1);
-/// How often the word of other nodes is looked for while the store does not answer.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long after its start a node waits for news before its upstream gets requests: others connect
-/// within some 50 ms of reading its row. Its upstream is not to get a request that all others hold
-/// back.
-const NEWS_TIME: Duration = Duration::from_millis(300);
-/// How often a connection is looked for meanwhile.
-const NEWS_LOOK: Duration = Duration::from_millis(5);
-
-/// Takes in what the own upstream announces.
+/// Timeout for the health check that identifies the upstream at the start.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often to check for a configuration or for connected peers.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long after its start a node waits for a first peer before its upstream gets requests. Peers
+/// connect within about 50 ms of reading the node's row, and tell it which requests are in
+/// quarantine, so that its upstream does not receive a request that all other nodes hold back.
+const PEER_WAIT: Duration = Duration::from_millis(300);
+/// How often to check for a first peer meanwhile.
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Handles the announcements of this node's upstream.
 pub(crate) struct Announcements {
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) store: Rc<dyn Store>,
@@ -48,16 +48,16 @@
     pub(crate) clock: Rc<Clock>,
     pub(crate) peers: Rc<Peers>,
     pub(crate) metrics: Rc<Metrics>,
-    /// The service of the own upstream,
+    /// The service of this node's upstream.
     pub(crate) service: ServiceName,
-    /// and where it is.
+    /// The address of this node's upstream.
     pub(crate) address: SocketAddr,
-    /// The whole mesh starts for the first time: no upstream has left before.
+    /// Whether the whole mesh starts for the first time, so no upstream was retired before.
     pub(crate) first_start: bool,
     pub(crate) started: Instant,
-    /// Whether a beat of a new life is being looked into.
+    /// Whether a lookup for a new incarnation of the upstream is in progress.
     pub(crate) is_looking_up: Cell<bool>,
-    /// The last life that this process has acknowledged to leave, of each id.
+    /// The last retired incarnation that this process acknowledged, by upstream id.
     pub(crate) acknowledged: RefCell<BTreeMap<String, UpstreamKey>>,
 }
 
@@ -65,51 +65,51 @@
     const NAME: &'static str = "announcements";
 }
 
-/// The handler of the port.
+/// The HTTP endpoint of the port.
 pub(crate) struct Endpoint(pub(crate) Rc<Announcements>);
 
 impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         let announcements = &self.0;
-        match announcements.read(&request) {
-            Ok(announcement) => announcements.take(announcement).await,
-            Err(error) => announcements.refuse(&error),
+        match announcements.parse(&request) {
+            Ok(announcement) => announcements.handle_announcement(announcement).await,
+            Err(error) => announcements.reject(&error),
         }
     }
 }
 
 impl Announcements {
-    /// Reads a message and checks that it comes from the own upstream.
-    fn read(&self, request: &Request) -> Result<Announcement, AnnouncementError> {
+    /// Parses a message and checks that it describes this node's upstream.
+    fn parse(&self, request: &Request) -> Result<Announcement, AnnouncementError> {
         let announcement = self.dialect.announcement(request);
         let announcement = announcement.map_err(AnnouncementError::Dialect)?;
-        if let Announcement::Heartbeat(beat) = &announcement {
-            self.check(beat)?;
+        if let Announcement::Heartbeat(heartbeat) = &announcement {
+            self.check(heartbeat)?;
         }
         Ok(announcement)
     }
 
-    /// Refuses what somebody else says in place of the own upstream.
-    fn check(&self, beat: &Heartbeat) -> Result<(), AnnouncementError> {
-        if beat.service != self.service {
+    /// Rejects a heartbeat that does not describe this node's upstream.
+    fn check(&self, heartbeat: &Heartbeat) -> Result<(), AnnouncementError> {
+        if heartbeat.service != self.service {
             return Err(AnnouncementError::Service {
-                own: self.service.clone(),
-                told: beat.service.clone(),
+                expected: self.service.clone(),
+                announced: heartbeat.service.clone(),
             });
         }
-        if beat.address != self.address {
+        if heartbeat.address != self.address {
             return Err(AnnouncementError::Address {
-                own: self.address,
-                told: beat.address,
+                expected: self.address,
+                announced: heartbeat.address,
             });
         }
-        if beat.upstream.started().is_none() && self.upstream.reports_start() {
-            return Err(AnnouncementError::Start);
+        if heartbeat.upstream.started().is_none() && self.upstream.reports_start() {
+            return Err(AnnouncementError::MissingStart);
         }
         Ok(())
     }
 
-    fn refuse(&self, error: &AnnouncementError) -> Response {
+    fn reject(&self, error: &AnnouncementError) -> Response {
         self.metrics.note_refused_announcement();
         emit(
             &catalogue::INPUT_REFUSED,
@@ -118,34 +118,38 @@
         Response::text(error.status(), format!("{error}\n"))
     }
 
-    async fn take(self: &Rc<Self>, announcement: Announcement) -> Response {
-        let is_safe = match announcement {
+    async fn handle_announcement(self: &Rc<Self>, announcement: Announcement) -> Response {
+        let is_durable = match announcement {
             Announcement::Deregistration(upstream) => self.retire(&upstream, "goodbye").await,
-            Announcement::Heartbeat(beat) if beat.readiness == Readiness::Draining => {
-                self.retire(&beat.upstream, "leaving").await
+            Announcement::Heartbeat(heartbeat) if heartbeat.readiness == Readiness::Draining => {
+                self.retire(&heartbeat.upstream, "leaving").await
             }
-            Announcement::Heartbeat(beat) => {
-                self.take_ready(beat);
+            Announcement::Heartbeat(heartbeat) => {
+                self.handle_ready(heartbeat);
                 true
             }
         };
-        if is_safe {
+        if is_durable {
             Response::json(StatusCode::OK, self.dialect.acknowledgement())
         } else {
-            Response::text(StatusCode::SERVICE_UNAVAILABLE, "not remembered yet\n")
+            Response::text(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "retirement not recorded yet\n",
+            )
         }
     }
 
-    /// Takes in a beat of an upstream that takes requests.
+    /// Handles a heartbeat of an upstream that accepts requests.
     ///
-    /// A life that this process has not seen is believed only once nobody says
-    /// that it has left: the beat may be older than what an earlier process of
-    /// this node acknowledged.
-    fn take_ready(self: &Rc<Self>, beat: Heartbeat) {
+    /// An incarnation that is new to this process is accepted only if neither
+    /// the store nor a peer reports it as retired. The heartbeat may be a late
+    /// one, sent before an earlier process of this node acknowledged that the
+    /// upstream retires.
+    fn handle_ready(self: &Rc<Self>, heartbeat: Heartbeat) {
         let now = Instant::now();
-        // At a first start what left is what this process has heard of itself.
-        if self.first_start || !self.upstream.is_new_incarnation(&beat, now) {
-            self.upstream.handle_heartbeat(&beat, now);
+        // At a first start this process knows of all retirements.
+        if self.first_start || !self.upstream.is_new_incarnation(&heartbeat, now) {
+            self.upstream.handle_heartbeat(&heartbeat, now);
             return;
         }
         if self.is_looking_up.replace(true) {
@@ -153,30 +157,30 @@
         }
         let announcements = Rc::clone(self);
         task::spawn("upstream lookup", async move {
-            if !announcements.has_left(&beat.upstream).await {
-                announcements.hear_news().await;
+            if !announcements.is_retired(&heartbeat.upstream).await {
+                announcements.wait_for_peer().await;
                 announcements
                     .upstream
-                    .handle_heartbeat(&beat, Instant::now());
+                    .handle_heartbeat(&heartbeat, Instant::now());
             }
             announcements.is_looking_up.set(false);
         });
     }
 
-    /// Waits for the first connection to another node: its introduction tells which requests may
-    /// end the upstream. A node that is alone goes without.
-    async fn hear_news(&self) {
-        while self.peers.open_count() == 0 && self.started.elapsed() < NEWS_TIME {
-            sleep(NEWS_LOOK).await;
+    /// Waits for the first connection to a peer, which reports the requests that may crash the
+    /// upstream. Gives up after [`PEER_WAIT`], so that a single node can start.
+    async fn wait_for_peer(&self) {
+        while self.peers.open_count() == 0 && self.started.elapsed() < PEER_WAIT {
+            sleep(PEER_POLL_INTERVAL).await;
         }
     }
 
-    /// Asks the own upstream who it is, so that a node that is back does not wait for a beat.
+    /// Asks the upstream for its identity, so that a restarted node need not wait for a heartbeat.
     ///
-    /// An upstream announces itself every 1.5 s, and goes without work until then.
+    /// An upstream announces itself every 1.5 s, and would not get any requests until then.
     pub(crate) async fn probe_upstream(self: Rc<Self>, current: Rc<Current>) {
         while current.get().is_none() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         let configuration = current.get();
         let rules = configuration
@@ -190,9 +194,9 @@
         }
         let pool = Pool::new(self.address, None, 1);
         let request = Request::new(Method::GET, rules.health_path.clone(), "");
-        let deadline = Instant::now() + PROBE_TIME;
+        let deadline = Instant::now() + PROBE_TIMEOUT;
         match pool.exchange(request, deadline).await {
-            Ok(response) => self.take_health(&response),
+            Ok(response) => self.handle_health(&response),
             Err(error) => emit(
                 &catalogue::UPSTREAM_SILENT,
                 &[("address", &self.address), ("reason", &error)],
@@ -200,19 +204,19 @@
         }
     }
 
-    fn take_health(self: &Rc<Self>, response: &Response) {
+    fn handle_health(self: &Rc<Self>, response: &Response) {
         let fields = self.dialect.fields();
         let load = response.header(fields.load);
         let load = load.and_then(|value| self.dialect.load(value));
         let upstream = response.header(fields.upstream);
-        // The answer does not tell when the upstream was started; its first beat will.
+        // The response lacks the start time of the upstream; its first heartbeat contains it.
         let upstream = upstream.and_then(|id| UpstreamKey::new(id, None).ok());
         let (StatusCode::OK, Some(upstream), Some(load)) = (response.status, upstream, load) else {
-            // It leaves, or does not say enough; its beats decide.
+            // The upstream is draining or the response is incomplete: wait for its heartbeats.
             return;
         };
         self.upstream.note_first_load(load, clock::now());
-        self.take_ready(Heartbeat {
+        self.handle_ready(Heartbeat {
             upstream,
             service: self.service.clone(),
             address: self.address,
--- a/crates/mesh/src/announcement/retirement.rs
+++ b/crates/mesh/src/announcement/retirement.rs
@@ -1,4 +1,4 @@
-//! Remembers which lives of the own upstream leave, and whether one has left.
+//! Records which incarnations of this node's upstream retired, and looks them up.
 
 use std::fmt::Display;
 use std::rc::Rc;
@@ -12,62 +12,69 @@
 use sailtrack_units::Era;
 
 use super::error::RowError;
-use super::{Announcements, LOOK};
+use super::{Announcements, POLL_INTERVAL};
 use crate::key::UpstreamKey;
 use crate::store::{Content, Row, Table};
 
-/// How long an upstream waits for the acknowledgement that it leaves: it hears of none after 1 s.
-const RETIRE_TIME: Duration = Duration::from_millis(900);
-/// How long the store may take to remember a leaving upstream before the other nodes suffice.
-const STORE_TIME: Duration = Duration::from_millis(600);
-/// How long the store may take to say whether an upstream has left before.
-const LOOKUP_TIME: Duration = Duration::from_millis(800);
-/// The pause after a row that the copy lacked could not be written.
-const RESTORE_PAUSE: Duration = Duration::from_millis(500);
-/// How long after its start a node waits for the word of others before it believes a beat.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout for the acknowledgement of a retirement. The upstream itself gives up after 1 s.
+const RETIRE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout for storing a retirement, after which copies on peers suffice.
+const STORE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout for looking up in the store whether an upstream retired.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(800);
+/// Minimum delay before another attempt to write a row that a restored store lacks.
+const MIN_RESTORE_BACKOFF: Duration = Duration::from_millis(500);
+/// How long after its start a node waits for peers that may know of a retirement, before it accepts
+/// a heartbeat.
+const MAX_PEER_WAIT: Duration = Duration::from_secs(3);
 
 impl Announcements {
-    /// Sends nothing new to an upstream, and returns true once that outlasts this process.
+    /// Sends no new requests to an upstream, and returns true once its retirement is recorded
+    /// outside this process.
     pub(super) async fn retire(self: &Rc<Self>, upstream: &UpstreamKey, reason: &str) -> bool {
         let key = self.upstream.retire(upstream, reason);
         let id = key.id().to_owned();
         self.acknowledged.borrow_mut().insert(id, key.clone());
-        let work = Rc::clone(self);
+        let announcements = Rc::clone(self);
         let (sender, receiver) = futures::channel::oneshot::channel();
-        // The task goes on when the upstream stops waiting, so that its next try succeeds at once.
+        // The task continues after a timeout, so that a retry of the upstream succeeds immediately.
         task::spawn("retirement", async move {
-            let is_safe = work.remember(&key).await;
+            let is_durable = announcements.record_retirement(&key).await;
             // The upstream may have stopped waiting.
-            let _ = sender.send(is_safe);
+            let _ = sender.send(is_durable);
         });
-        matches!(timeout(RETIRE_TIME, receiver).await, Ok(Ok(true)))
+        matches!(timeout(RETIRE_TIMEOUT, receiver).await, Ok(Ok(true)))
     }
 
-    /// Lets the store and other nodes remember an upstream.
-    ///
-    /// The store suffices; while it does not answer, the other nodes do.
-    async fn remember(&self, upstream: &UpstreamKey) -> bool {
-        let stored = std::pin::pin!(self.store_retired(upstream));
-        let witnessed = std::pin::pin!(self.peers.replicate_retirement(upstream));
-        match select(stored, witnessed).await {
+    /// Records a retirement in the store and on peers. The peers suffice if the store fails.
+    async fn record_retirement(&self, upstream: &UpstreamKey) -> bool {
+        let stored = std::pin::pin!(self.store_retirement(upstream));
+        let replicated = std::pin::pin!(self.peers.replicate_retirement(upstream));
+        match select(stored, replicated).await {
             Either::Left((true, _)) => true,
-            Either::Left((false, witnessed)) => witnessed.await,
-            Either::Right((witnessed, stored)) => stored.await || witnessed,
+            Either::Left((false, replicated)) => replicated.await,
+            Either::Right((replicated, stored)) => stored.await || replicated,
         }
     }
 
-    /// Writes the rows of what was acknowledged again, since the store came back from a copy: another
-    /// process of this node would believe a late beat.
+    /// Writes the rows of acknowledged retirements again after the store was restored from a backup.
+    /// Without them, a later process of this node would accept a late heartbeat.
     pub(crate) fn restore_rows(self: &Rc<Self>) {
-        let work = Rc::clone(self);
+        let announcements = Rc::clone(self);
         let era = self.clock.era();
         task::spawn("retired rows", async move {
-            let all: Vec<_> = work.acknowledged.borrow().values().cloned().collect();
+            let all: Vec<_> = announcements
+                .acknowledged
+                .borrow()
+                .values()
+                .cloned()
+                .collect();
             for upstream in all {
-                // The next copy writes all of them again.
-                while work.clock.era() == era && !work.store_retired(&upstream).await {
-                    sleep(RESTORE_PAUSE.mul_f64(rand::rng().random_range(1.0..2.0))).await;
+                // A further restore starts this again for all rows.
+                while announcements.clock.era() == era
+                    && !announcements.store_retirement(&upstream).await
+                {
+                    sleep(MIN_RESTORE_BACKOFF.mul_f64(rand::rng().random_range(1.0..2.0))).await;
                 }
                 let fields: &[(&str, &dyn Display)] =
                     &[("table", &Table::Retired), ("key", &upstream.id())];
@@ -76,33 +83,33 @@
         });
     }
 
-    async fn store_retired(&self, upstream: &UpstreamKey) -> bool {
-        let life = upstream.to_string();
-        let put = self.store.put(Table::Retired, upstream.id(), &life);
-        let reason = match timeout(STORE_TIME, put).await {
+    async fn store_retirement(&self, upstream: &UpstreamKey) -> bool {
+        let retired = upstream.to_string();
+        let put = self.store.put(Table::Retired, upstream.id(), &retired);
+        let reason = match timeout(STORE_TIMEOUT, put).await {
             Ok(Ok(())) => return true,
             Ok(Err(error)) => error.to_string(),
             Err(_) => "late".to_owned(),
         };
         emit(
             &catalogue::STORE_FAILED,
-            &[("operation", &"remember upstream"), ("reason", &reason)],
+            &[("operation", &"record retirement"), ("reason", &reason)],
         );
         false
     }
 
-    /// Returns true if a life of the upstream has left, as far as anybody says.
-    pub(super) async fn has_left(&self, upstream: &UpstreamKey) -> bool {
+    /// Returns true if the store, a peer or this node knows that the incarnation retired.
+    pub(super) async fn is_retired(&self, upstream: &UpstreamKey) -> bool {
         let row = self.store.row(Table::Retired, upstream.id());
-        let reason = match timeout(LOOKUP_TIME, row).await {
-            Ok(Ok(reading)) => match reading.row.as_ref().map(retired_life) {
-                // A copy may lack the row, so others are heard too.
+        let reason = match timeout(LOOKUP_TIMEOUT, row).await {
+            Ok(Ok(reading)) => match reading.row.as_ref().map(parse_retired) {
+                // A restored store may lack the row, so peers are asked too.
                 None if reading.era > Era::default() => {
-                    return self.is_known_to_others(upstream).await;
+                    return self.is_known_to_peers(upstream).await;
                 }
                 None => return self.retired.contains(upstream),
-                Some(Ok(life)) => return self.has_left_with(upstream, life),
-                // Somebody else wrote it, and it names nobody.
+                Some(Ok(retired)) => return self.is_retired_by(upstream, retired),
+                // The row was not written by a node.
                 Some(Err(error)) => error.to_string(),
             },
             Ok(Err(error)) => error.to_string(),
@@ -112,41 +119,41 @@
             &catalogue::STORE_FAILED,
             &[("operation", &"look up upstream"), ("reason", &reason)],
         );
-        self.is_known_to_others(upstream).await
+        self.is_known_to_peers(upstream).await
     }
 
-    /// Returns true if a node says that this life has left, after the first ones were met.
-    async fn is_known_to_others(&self, upstream: &UpstreamKey) -> bool {
-        while self.peers.open_count() == 0 && self.started.elapsed() < PATIENCE {
-            sleep(LOOK).await;
+    /// Waits until peers are connected; returns true if one of them reported the retirement.
+    async fn is_known_to_peers(&self, upstream: &UpstreamKey) -> bool {
+        while self.peers.open_count() == 0 && self.started.elapsed() < MAX_PEER_WAIT {
+            sleep(POLL_INTERVAL).await;
         }
-        // The introductions of others come with the opening of their connections.
-        sleep(LOOK).await;
+        // Peers send the retirements that they know of when a connection opens.
+        sleep(POLL_INTERVAL).await;
         self.retired.contains(upstream)
     }
 
-    /// Takes in that a life with the same id has left; returns true if `upstream` is that one or
-    /// an earlier one.
-    fn has_left_with(&self, upstream: &UpstreamKey, left: UpstreamKey) -> bool {
-        if upstream.is_older_than(&left) {
+    /// Records the retirement of an incarnation with the same id; returns true if `upstream` is
+    /// that incarnation or an earlier one.
+    fn is_retired_by(&self, upstream: &UpstreamKey, retired: UpstreamKey) -> bool {
+        if upstream.is_older_than(&retired) {
             self.retired.note(upstream.clone());
         }
-        self.retired.note(left);
+        self.retired.note(retired);
         self.retired.contains(upstream)
     }
 }
 
-/// Returns the life that a row says has left.
-fn retired_life(row: &Row) -> Result<UpstreamKey, RowError> {
+/// Parses a row of the table of retired upstreams.
+fn parse_retired(row: &Row) -> Result<UpstreamKey, RowError> {
     let text = match &row.content {
         Content::Text(text) => text,
         Content::Unreadable(reason) => return Err(RowError::Unreadable(reason.clone())),
         Content::Removed => return Err(RowError::Removed),
     };
-    let life: UpstreamKey = text.parse().map_err(RowError::Key)?;
-    if life.id() == row.key {
-        Ok(life)
+    let retired: UpstreamKey = text.parse().map_err(RowError::Key)?;
+    if retired.id() == row.key {
+        Ok(retired)
     } else {
-        Err(RowError::OtherId)
+        Err(RowError::IdMismatch)
     }
 }
