--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -1,4 +1,4 @@
-//! Serves the connections of other nodes, one task for each connection and each request.
+//! Serves incoming connections of peers, with a task per connection and per request.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -30,7 +30,7 @@
 use crate::directory::{Directory, Member};
 use crate::gate::Gate;
 use crate::key::{AttemptKey, UpstreamKey};
-use crate::peer::convert::{CHUNK, FIRST_GRANT, returned_to_wire, work_from_wire};
+use crate::peer::convert::{INITIAL_GRANT, MAX_CHUNK, request_from_wire, response_to_wire};
 use crate::peer::reassembly::Reassembly;
 use crate::quarantine::Quarantine;
 use crate::quota::Quotas;
@@ -39,14 +39,14 @@
 use crate::status::Status;
 use crate::store::{Clock, StoreTime};
 
-/// How long a new connection may take to say hello.
-const HELLO_TIME: Duration = Duration::from_secs(2);
-/// The most requests open at once on one connection.
-const MOST_OPEN: usize = 4096;
-/// The most connections open at once.
-const MOST_CONNECTIONS: usize = 2048;
+/// Timeout for the hello of a new connection.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of requests in flight per connection.
+const MAX_REQUESTS: usize = 4096;
+/// Maximum number of connections.
+const MAX_CONNECTIONS: usize = 2048;
 
-/// Serves the connections of other nodes.
+/// Serves incoming connections of peers.
 pub(crate) struct Acceptor {
     pub(crate) gate: Rc<Gate>,
     pub(crate) status: Rc<Status>,
@@ -62,22 +62,24 @@
     const NAME: &'static str = "peer-acceptor";
 }
 
-/// What is open on one connection.
+/// State of one connection, by exchange.
 #[derive(Default)]
-struct Open {
+struct Exchanges {
+    /// Requests in flight.
     running: RefCell<HashMap<u64, AbortHandle>>,
+    /// Requests whose bodies are incomplete.
     arriving: RefCell<HashMap<u64, Reassembly<Forward>>>,
-    /// Where the grants for streamed answers go.
+    /// Channels that pass flow-control grants to the tasks that stream responses.
     granting: RefCell<HashMap<u64, mpsc::UnboundedSender<u32>>>,
 }
 
 impl Acceptor {
-    /// Accepts connections for as long as the task lives.
+    /// Accepts connections forever.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let bounds = Bounds {
             port: "peer",
             task: "peer connection",
-            connections: MOST_CONNECTIONS,
+            connections: MAX_CONNECTIONS,
         };
         let serve = |stream| Rc::clone(&self).serve(stream);
         accept(listener, bounds, Rc::default(), serve).await;
@@ -90,46 +92,46 @@
         let (read, write) = stream.into_split();
         let (mut outgoing, frames) = mpsc::channel(OUTGOING_CAPACITY);
         task::spawn("peer writer", async move {
-            // The reading side ends the connection when writing fails.
+            // The reading side closes the connection if writing fails.
             let _ = write_frames(write, frames).await;
         });
         let mut reader = FrameReader::new(read);
-        let said = match timeout(HELLO_TIME, reader.hello()).await {
-            Ok(Ok(said)) => said,
-            Ok(Err(error)) => return refuse(&error),
-            Err(_) => return refuse(&"no hello in time"),
+        let peer_hello = match timeout(HELLO_TIMEOUT, reader.hello()).await {
+            Ok(Ok(peer_hello)) => peer_hello,
+            Ok(Err(error)) => return reject(&error),
+            Err(_) => return reject(&"timeout waiting for hello"),
         };
-        self.meet(&said);
+        self.add_peer(&peer_hello);
         let introduction = Body::Presence(self.status.introduction());
-        let welcome = [hello(self.status.member()), introduction];
-        let welcome = welcome.into_iter().chain(self.quarantine.snapshot());
-        for message in welcome {
+        let greeting = [hello(self.status.member()), introduction];
+        let greeting = greeting.into_iter().chain(self.quarantine.snapshot());
+        for message in greeting {
             if outgoing.send(message).await.is_err() {
                 return;
             }
         }
         self.status.subscribers.borrow_mut().push(outgoing.clone());
-        let open = Rc::new(Open::default());
-        let holder = holder(&said);
-        let ended = self.read(&mut reader, &outgoing, &open, holder.as_ref());
+        let exchanges = Rc::new(Exchanges::default());
+        let holder = holder(&peer_hello);
+        let ended = self.read(&mut reader, &outgoing, &exchanges, holder.as_ref());
         let ended = ended.await;
-        // The other side takes every request without an answer for lost.
-        for running in open.running.borrow().values() {
+        // The peer treats every request without a response as lost.
+        for running in exchanges.running.borrow().values() {
             running.abort();
         }
         outgoing.close_channel();
         if let Err(ConnectionError::Frame(error)) = ended {
-            refuse(&error);
+            reject(&error);
         }
     }
 
-    fn meet(&self, said: &Hello) {
-        let Some(member) = &said.member else {
+    fn add_peer(&self, peer_hello: &Hello) {
+        let Some(member) = &peer_hello.member else {
             return;
         };
         match Member::from_wire(member) {
             Ok(member) => self.directory.upsert(member),
-            Err(error) => refuse(&error),
+            Err(error) => reject(&error),
         }
     }
 
@@ -137,38 +139,38 @@
         self: &Rc<Self>,
         reader: &mut FrameReader,
         outgoing: &mpsc::Sender<Body>,
-        open: &Rc<Open>,
+        exchanges: &Rc<Exchanges>,
         holder: Option<&Holder>,
     ) -> Result<(), ConnectionError> {
         loop {
             match reader.next().await? {
-                Body::Forward(message) => self.receive(message, outgoing, open),
-                Body::Chunk(chunk) => self.receive_part(&chunk, outgoing, open),
+                Body::Forward(message) => self.receive(message, outgoing, exchanges),
+                Body::Chunk(chunk) => self.receive_chunk(&chunk, outgoing, exchanges),
                 Body::Cancel(cancel) => {
-                    open.arriving.borrow_mut().remove(&cancel.exchange);
-                    if let Some(running) = open.running.borrow_mut().remove(&cancel.exchange) {
+                    exchanges.arriving.borrow_mut().remove(&cancel.exchange);
+                    if let Some(running) = exchanges.running.borrow_mut().remove(&cancel.exchange) {
                         running.abort();
                     }
                 }
                 Body::Grant(grant) => {
-                    if let Some(granting) = open.granting.borrow().get(&grant.exchange) {
-                        // The answer may have ended.
+                    if let Some(granting) = exchanges.granting.borrow().get(&grant.exchange) {
+                        // The response may have ended.
                         let _ = granting.unbounded_send(grant.chunks);
                     }
                 }
-                Body::Recall(recall) => self.recall(recall, outgoing, open),
-                Body::Retire(retire) => self.remember(&retire, outgoing),
-                Body::Fetch(fetch) => self.give_configuration(fetch, outgoing),
-                // A full channel holds other signs of life.
+                Body::Recall(recall) => self.recall(recall, outgoing, exchanges),
+                Body::Retire(retire) => self.record_retirement(&retire, outgoing),
+                Body::Fetch(fetch) => self.send_configuration(fetch, outgoing),
+                // If the channel is full, the messages in it show that this node is alive.
                 Body::Ping(_) => drop(outgoing.clone().try_send(Body::Pong(self.pong()))),
                 Body::TokenQuestion(question) => {
                     if let Some(holder) = holder {
                         let answer = self.quotas.answer(holder, &question);
-                        // Who asks takes silence for a lost question.
+                        // The peer treats a missing answer as a lost request.
                         let _ = outgoing.clone().try_send(Body::TokenAnswer(answer));
                     }
                 }
-                // Everything else is for the other direction.
+                // All other messages are sent in the opposite direction only.
                 _ => {}
             }
         }
@@ -182,98 +184,108 @@
         }
     }
 
-    /// Takes in the first part of a request.
+    /// Handles the first message of a request.
     fn receive(
         self: &Rc<Self>,
         mut message: Forward,
         outgoing: &mpsc::Sender<Body>,
-        open: &Rc<Open>,
+        exchanges: &Rc<Exchanges>,
     ) {
         let exchange = message.exchange;
         let length = message.body_length;
         if message.body.len() as u64 == length {
-            self.start(message, outgoing, open);
+            self.start(message, outgoing, exchanges);
             return;
         }
         let first = std::mem::take(&mut message.body);
         match Reassembly::new(message, &first, length) {
-            Some(parts) => {
-                open.arriving.borrow_mut().insert(exchange, parts);
+            Some(reassembly) => {
+                exchanges.arriving.borrow_mut().insert(exchange, reassembly);
             }
-            None => refuse(&"a body longer than allowed"),
+            None => reject(&"body exceeds the maximum length"),
         }
     }
 
-    fn receive_part(
+    fn receive_chunk(
         self: &Rc<Self>,
         chunk: &Chunk,
         outgoing: &mpsc::Sender<Body>,
-        open: &Rc<Open>,
+        exchanges: &Rc<Exchanges>,
     ) {
-        let mut arriving = open.arriving.borrow_mut();
-        let Some(mut parts) = arriving.remove(&chunk.exchange) else {
+        let mut arriving = exchanges.arriving.borrow_mut();
+        let Some(mut reassembly) = arriving.remove(&chunk.exchange) else {
             return;
         };
-        if !parts.add(&chunk.data) {
-            refuse(&"a body longer than announced");
+        if !reassembly.add(&chunk.data) {
+            reject(&"body exceeds the announced length");
             return;
         }
-        if !parts.is_whole() {
-            arriving.insert(chunk.exchange, parts);
+        if !reassembly.is_complete() {
+            arriving.insert(chunk.exchange, reassembly);
             return;
         }
         drop(arriving);
-        let (mut message, body) = parts.finish();
+        let (mut message, body) = reassembly.finish();
         message.body = body;
-        self.start(message, outgoing, open);
+        self.start(message, outgoing, exchanges);
     }
 
-    fn start(self: &Rc<Self>, message: Forward, outgoing: &mpsc::Sender<Body>, open: &Rc<Open>) {
+    fn start(
+        self: &Rc<Self>,
+        message: Forward,
+        outgoing: &mpsc::Sender<Body>,
+        exchanges: &Rc<Exchanges>,
+    ) {
         let exchange = message.exchange;
         let acceptor = Rc::clone(self);
-        let too_many = open.running.borrow().len() >= MOST_OPEN;
-        let work = async move {
-            if too_many {
+        let is_full = exchanges.running.borrow().len() >= MAX_REQUESTS;
+        let response = async move {
+            if is_full {
                 return Response::refused(Reason::Overload);
             }
-            match work_from_wire(message) {
-                Ok(work) => acceptor.gate.run(work).await,
+            match request_from_wire(message) {
+                Ok(request) => acceptor.gate.run(request).await,
                 Err(error) => {
-                    refuse(&error);
+                    reject(&error);
                     Response::refused(Reason::Undeclared)
                 }
             }
         };
-        spawn_answer(exchange, work, outgoing, open);
+        spawn_response(exchange, response, outgoing, exchanges);
     }
 
-    fn recall(self: &Rc<Self>, recall: Recall, outgoing: &mpsc::Sender<Body>, open: &Rc<Open>) {
+    fn recall(
+        self: &Rc<Self>,
+        recall: Recall,
+        outgoing: &mpsc::Sender<Body>,
+        exchanges: &Rc<Exchanges>,
+    ) {
         let acceptor = Rc::clone(self);
         let exchange = recall.exchange;
-        let work = async move {
+        let response = async move {
             if Incarnation(recall.incarnation) != acceptor.status.life {
                 return Response::unknown(Reason::HomeGone);
             }
             let attempt = AttemptKey::from(recall.id.as_str());
             acceptor.gate.recall(&attempt).await
         };
-        spawn_answer(exchange, work, outgoing, open);
+        spawn_response(exchange, response, outgoing, exchanges);
     }
 
-    fn remember(&self, retire: &Retire, outgoing: &mpsc::Sender<Body>) {
-        let life = match retire.upstream.parse::<UpstreamKey>() {
-            Ok(life) => life,
-            Err(error) => return refuse(&error),
+    fn record_retirement(&self, retire: &Retire, outgoing: &mpsc::Sender<Body>) {
+        let upstream = match retire.upstream.parse::<UpstreamKey>() {
+            Ok(upstream) => upstream,
+            Err(error) => return reject(&error),
         };
-        self.retired.note(life);
+        self.retired.note(upstream);
         let exchange = retire.exchange;
-        // Without an answer the other side takes it for not remembered.
+        // Without an acknowledgement the peer does not count this node as holding a copy.
         let _ = outgoing
             .clone()
             .try_send(Body::Retired(RetiredMessage { exchange }));
     }
 
-    fn give_configuration(&self, fetch: Fetch, outgoing: &mpsc::Sender<Body>) {
+    fn send_configuration(&self, fetch: Fetch, outgoing: &mpsc::Sender<Body>) {
         let version = self.current.version();
         if version.0 <= fetch.version {
             return;
@@ -282,64 +294,70 @@
             version: version.0,
             text: self.current.text().to_string(),
         };
-        // A full channel only delays the fetch to the next presence.
+        // If the channel is full, the peer fetches again after the next presence message.
         let _ = outgoing.clone().try_send(Body::Config(config));
     }
 }
 
-/// Returns who holds the tokens that are asked for on a connection; who does not say who it is
-/// gets none.
-fn holder(said: &Hello) -> Option<Holder> {
-    let member = said.member.as_ref()?;
+/// Returns the identity under which tokens are granted on a connection. A peer that does not
+/// identify itself gets none.
+fn holder(peer_hello: &Hello) -> Option<Holder> {
+    let member = peer_hello.member.as_ref()?;
     Some(Holder {
         node: member.node.parse().ok()?,
         incarnation: member.incarnation,
     })
 }
 
-fn refuse(reason: &dyn std::fmt::Display) {
+fn reject(reason: &dyn std::fmt::Display) {
     emit(
         &catalogue::INPUT_REFUSED,
         &[("port", &"peer"), ("reason", reason)],
     );
 }
 
-/// Runs `work` in a task of its own and sends what comes of it, unless it is cancelled before.
-fn spawn_answer(
+/// Executes a request in its own task and sends the response, unless it is cancelled before.
+fn spawn_response(
     exchange: u64,
-    work: impl Future<Output = Response> + 'static,
+    response: impl Future<Output = Response> + 'static,
     outgoing: &mpsc::Sender<Body>,
-    open: &Rc<Open>,
+    exchanges: &Rc<Exchanges>,
 ) {
     let (handle, registration) = AbortHandle::new_pair();
-    open.running.borrow_mut().insert(exchange, handle);
+    exchanges.running.borrow_mut().insert(exchange, handle);
     let mut outgoing = outgoing.clone();
-    let open = Rc::clone(open);
+    let exchanges = Rc::clone(exchanges);
     task::spawn("peer request", async move {
-        let answer = async {
-            let returned = work.await;
-            send(&mut outgoing, exchange, returned, &open).await;
+        let request = async {
+            let response = response.await;
+            send(&mut outgoing, exchange, response, &exchanges).await;
         };
-        // An aborted request was cancelled and needs no answer.
-        let _ = Abortable::new(answer, registration).await;
-        open.running.borrow_mut().remove(&exchange);
-        open.granting.borrow_mut().remove(&exchange);
+        // An aborted request was cancelled and needs no response.
+        let _ = Abortable::new(request, registration).await;
+        exchanges.running.borrow_mut().remove(&exchange);
+        exchanges.granting.borrow_mut().remove(&exchange);
     });
 }
 
-/// Sends what became of a request, a long body in chunks so that others are not held up.
-async fn send(outgoing: &mut mpsc::Sender<Body>, exchange: u64, returned: Response, open: &Open) {
-    let mut reply = returned_to_wire(exchange, &returned);
-    match returned.body {
+/// Sends the response to a request. A long body is split into chunks, so that it does not delay
+/// other messages.
+async fn send(
+    outgoing: &mut mpsc::Sender<Body>,
+    exchange: u64,
+    response: Response,
+    exchanges: &Exchanges,
+) {
+    let mut reply = response_to_wire(exchange, &response);
+    match response.body {
         AnswerBody::Whole(mut rest) => {
-            reply.body = rest.split_to(rest.len().min(CHUNK));
+            reply.body = rest.split_to(rest.len().min(MAX_CHUNK));
             if outgoing.send(Body::Reply(reply)).await.is_ok() {
                 send_rest(outgoing, exchange, rest).await;
             }
         }
         AnswerBody::Stream(stream) => {
             let (sender, grants) = mpsc::unbounded();
-            open.granting.borrow_mut().insert(exchange, sender);
+            exchanges.granting.borrow_mut().insert(exchange, sender);
             if outgoing.send(Body::Reply(reply)).await.is_ok() {
                 send_stream(outgoing, exchange, stream, grants).await;
             }
@@ -349,7 +367,7 @@
 
 async fn send_rest(outgoing: &mut mpsc::Sender<Body>, exchange: u64, mut rest: Bytes) {
     while !rest.is_empty() {
-        let data = rest.split_to(rest.len().min(CHUNK));
+        let data = rest.split_to(rest.len().min(MAX_CHUNK));
         let chunk = Chunk {
             exchange,
             data,
@@ -361,19 +379,19 @@
     }
 }
 
-/// Sends a streamed body, no more than the other side has granted: a client that reads slowly
-/// holds up its own answer only.
+/// Streams a body, never more than the peer has granted, so that a client that reads slowly delays
+/// only its own response.
 async fn send_stream(
     outgoing: &mut mpsc::Sender<Body>,
     exchange: u64,
     mut stream: Stream,
     mut grants: mpsc::UnboundedReceiver<u32>,
 ) {
-    let mut granted = FIRST_GRANT;
+    let mut granted = INITIAL_GRANT;
     loop {
-        let piece = stream.next().await;
-        let mut rest = match &piece {
-            Ok(Some(piece)) => piece.clone(),
+        let chunk = stream.next().await;
+        let mut rest = match &chunk {
+            Ok(Some(chunk)) => chunk.clone(),
             Ok(None) | Err(_) => Bytes::new(),
         };
         while !rest.is_empty() {
@@ -384,19 +402,19 @@
                 granted += more;
             }
             granted -= 1;
-            let first = rest.split_to(rest.len().min(CHUNK));
+            let first = rest.split_to(rest.len().min(MAX_CHUNK));
             send_rest(outgoing, exchange, first).await;
         }
-        if matches!(piece, Ok(Some(_))) {
+        if matches!(chunk, Ok(Some(_))) {
             continue;
         }
         let end = Chunk {
             exchange,
-            last: piece.is_ok(),
-            broken: piece.is_err(),
+            last: chunk.is_ok(),
+            broken: chunk.is_err(),
             ..Chunk::default()
         };
-        // Without an end the other side takes the body for broken.
+        // Without an end marker the peer treats the body as truncated.
         let _ = outgoing.send(Body::Chunk(end)).await;
         return;
     }
--- a/crates/mesh/src/peer/convert.rs
+++ b/crates/mesh/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Requests and what became of them, as messages between nodes.
+//! Conversion of requests and responses to and from messages between nodes.
 
 use std::time::Duration;
 
@@ -14,38 +14,38 @@
 use crate::key::AttemptKey;
 use crate::request::{Request, Response};
 
-/// The most bytes of a body in one message, so that a long one does not hold up others.
-pub(super) const CHUNK: usize = 32 * 1024;
+/// Maximum number of body bytes per message, so that a long body does not delay other messages.
+pub(super) const MAX_CHUNK: usize = 32 * 1024;
 
-/// The chunks of a streamed body that are sent before the first grant.
-pub(super) const FIRST_GRANT: u32 = 4;
+/// Initial flow-control window: number of chunks of a streamed body sent before the first grant.
+pub(super) const INITIAL_GRANT: u32 = 4;
 
-/// the message holds no sound request: {0}
+/// invalid request message: {0}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
-pub(super) struct WorkError(String);
+pub(super) struct RequestError(String);
 
-impl std::error::Error for WorkError {}
+impl std::error::Error for RequestError {}
 
-/// Returns the message for a request; the body beyond the first part follows in chunks.
-pub(super) fn work_to_wire(exchange: u64, work: &Request) -> Forward {
-    let first = work.body.len().min(CHUNK);
+/// Returns the message for a request; the rest of a long body follows in chunks.
+pub(super) fn request_to_wire(exchange: u64, request: &Request) -> Forward {
+    let first = request.body.len().min(MAX_CHUNK);
     Forward {
         exchange,
-        id: work.attempt.to_string(),
-        service: work.service.to_string(),
-        kind: work.kind.to_string(),
-        idempotent: work.idempotent,
-        rank: u32::from(work.rank.index()),
-        class: u32::try_from(work.class.index()).unwrap_or_default(),
-        begun: work.is_nested,
-        time_left_us: u64::try_from(work.time_left().as_micros()).unwrap_or(u64::MAX),
-        head: work.head.clone(),
-        body: work.body.slice(..first),
-        body_length: work.body.len() as u64,
-        repeated: work.is_retry,
-        identity: Bytes::copy_from_slice(&work.identity.to_bytes()),
-        known_crashes: u32::from(work.known_crashes),
-        workspace: work
+        id: request.attempt.to_string(),
+        service: request.service.to_string(),
+        kind: request.kind.to_string(),
+        idempotent: request.idempotent,
+        rank: u32::from(request.rank.index()),
+        class: u32::try_from(request.class.index()).unwrap_or_default(),
+        begun: request.is_nested,
+        time_left_us: u64::try_from(request.time_left().as_micros()).unwrap_or(u64::MAX),
+        head: request.head.clone(),
+        body: request.body.slice(..first),
+        body_length: request.body.len() as u64,
+        repeated: request.is_retry,
+        identity: Bytes::copy_from_slice(&request.identity.to_bytes()),
+        known_crashes: u32::from(request.known_crashes),
+        workspace: request
             .workspace
             .as_ref()
             .map(ToString::to_string)
@@ -53,12 +53,12 @@
     }
 }
 
-/// Returns the request that a message with its whole body stands for.
-pub(super) fn work_from_wire(message: Forward) -> Result<Request, WorkError> {
-    let error = |what: &dyn std::fmt::Display| WorkError(what.to_string());
+/// Parses a request from a message with its complete body.
+pub(super) fn request_from_wire(message: Forward) -> Result<Request, RequestError> {
+    let error = |what: &dyn std::fmt::Display| RequestError(what.to_string());
     let rank = u8::try_from(message.rank).map_err(|e| error(&e))?;
     let identity = Identity::from_bytes(&message.identity);
-    let identity = identity.ok_or_else(|| error(&"its identity has not the right length"))?;
+    let identity = identity.ok_or_else(|| error(&"the identity has the wrong length"))?;
     let class = usize::try_from(message.class)
         .ok()
         .and_then(Class::from_index);
@@ -73,8 +73,8 @@
         kind: message.kind.parse().map_err(|e| error(&e))?,
         idempotent: message.idempotent,
         rank: Rank::from_index(rank),
-        class: class.ok_or_else(|| error(&"there is no such class"))?,
-        // Only the node where a call comes in repeats it.
+        class: class.ok_or_else(|| error(&"unknown class"))?,
+        // Not sent: only the node that received the call retries it and needs the count.
         completed_calls: 0,
         is_nested: message.begun,
         is_retry: message.repeated,
@@ -84,34 +84,34 @@
     })
 }
 
-/// Returns the message for what became of a request, without its body.
-pub(super) fn returned_to_wire(exchange: u64, returned: &Response) -> Reply {
-    let (length_known, body_length) = match &returned.body {
+/// Returns the message for a response, without its body.
+pub(super) fn response_to_wire(exchange: u64, response: &Response) -> Reply {
+    let (length_known, body_length) = match &response.body {
         Body::Whole(bytes) => (true, bytes.len() as u64),
         Body::Stream(stream) => (stream.length.is_some(), stream.length.unwrap_or(0)),
     };
     Reply {
         exchange,
-        outcome: returned.outcome.into(),
-        reason: returned.reason.into(),
-        status: u32::from(returned.status),
-        head: returned.head.clone(),
+        outcome: response.outcome.into(),
+        reason: response.reason.into(),
+        status: u32::from(response.status),
+        head: response.head.clone(),
         body: Bytes::new(),
         body_length,
-        streamed: returned.body.whole().is_none(),
+        streamed: response.body.whole().is_none(),
         length_known,
-        offered: returned.was_sent,
-        pressure_percent: returned.pressure.percent(),
-        path_pressure_percent: returned.path_pressure.percent(),
-        failed_below: returned.failed_below,
-        absent_below: returned.absent_below,
-        pace_percent: returned.pace.map_or(0, Pace::percent),
-        retry_after_ms: u64::try_from(returned.retry_after.as_millis()).unwrap_or(u64::MAX),
+        offered: response.was_sent,
+        pressure_percent: response.pressure.percent(),
+        path_pressure_percent: response.path_pressure.percent(),
+        failed_below: response.failed_below,
+        absent_below: response.absent_below,
+        pace_percent: response.pace.map_or(0, Pace::percent),
+        retry_after_ms: u64::try_from(response.retry_after.as_millis()).unwrap_or(u64::MAX),
     }
 }
 
-/// Returns what became of a request, from a message and its body.
-pub(super) fn returned_from_wire(message: Reply, body: Body) -> Response {
+/// Parses a response from a message and its body.
+pub(super) fn response_from_wire(message: Reply, body: Body) -> Response {
     Response {
         outcome: message.outcome(),
         reason: message.reason(),
@@ -119,7 +119,7 @@
         was_sent: message.offered,
         pressure: Pressure::from_percent(message.pressure_percent),
         path_pressure: Pressure::from_percent(message.path_pressure_percent),
-        // Zero, for an upstream that tells none, is no pace either.
+        // Zero, sent for an upstream that reports no pace, is not a valid pace.
         pace: Pace::from_percent(message.pace_percent).ok(),
         failed_below: message.failed_below,
         absent_below: message.absent_below,
--- a/crates/mesh/src/peer/link/connection.rs
+++ b/crates/mesh/src/peer/link/connection.rs
@@ -1,4 +1,4 @@
-//! Keeps the connection of a link open and reads what comes through it.
+//! Opens the connection of a link, reopens it when it is lost, and reads from it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,43 +16,43 @@
 
 use crate::peer::link::Link;
 
-/// How long opening a connection may take: some round trips between regions.
-const CONNECT_TIME: Duration = Duration::from_millis(700);
-/// The first pause before a lost connection is opened anew.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause; a node is to be found within a second or so after a partition ends.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Data that is not acknowledged for this long ends a connection.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(2500);
-/// A connection through which nothing came for this many of the other node's intervals is closed.
+/// Timeout for connecting and for the handshake: a few round trips between regions.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Initial backoff before a lost connection is reopened.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum backoff. Nodes must reconnect within about a second after a partition ends.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Time after which a connection with unacknowledged data is closed (TCP user timeout).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Number of heartbeat intervals without any message after which a connection is closed.
 const DEAD_INTERVALS: u32 = 8;
 
 impl Link {
-    /// Keeps the connection open for as long as the link is wanted.
+    /// Keeps the connection open until the link is closed.
     pub(crate) async fn run(self: Rc<Self>) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = MIN_BACKOFF;
         while !self.closed.get() {
             let result = self.connect_and_run().await;
-            let was_open = self.life.get() != Incarnation::default();
+            let was_open = self.incarnation.get() != Incarnation::default();
             self.end(was_open, &result);
             if was_open {
-                pause = FIRST_PAUSE;
+                backoff = MIN_BACKOFF;
             }
-            sleep(pause.mul_f64(rand::rng().random_range(0.5..1.0))).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            sleep(backoff.mul_f64(rand::rng().random_range(0.5..1.0))).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
     async fn connect_and_run(&self) -> Result<(), ConnectionError> {
-        let dialed = dial(self.member.address, Some(self.source), CONNECT_TIME)
+        let dialed = dial(self.member.address, Some(self.source), CONNECT_TIMEOUT)
             .await
             .map_err(ConnectionError::Dial)?;
-        give_up_after(&dialed.probe, UNACKNOWLEDGED_TIME).map_err(ConnectionError::Io)?;
+        give_up_after(&dialed.probe, UNACKNOWLEDGED_TIMEOUT).map_err(ConnectionError::Io)?;
         drop(dialed.probe);
         let (read, write) = dialed.stream.into_split();
         let (mut outgoing, frames) = mpsc::channel(OUTGOING_CAPACITY);
-        // The channel is new and empty, so the first message has room.
-        let _ = outgoing.try_send(hello(self.news.local_member()));
+        // The channel is new, so there is room for the first message.
+        let _ = outgoing.try_send(hello(self.delegate.local_member()));
         let reading = std::pin::pin!(self.read(FrameReader::new(read), outgoing));
         let writing = std::pin::pin!(write_frames(write, frames));
         match select(reading, writing).await {
@@ -65,26 +65,26 @@
         mut reader: FrameReader,
         outgoing: mpsc::Sender<Body>,
     ) -> Result<(), ConnectionError> {
-        let greeting = timeout(CONNECT_TIME, reader.hello()).await;
+        let greeting = timeout(CONNECT_TIMEOUT, reader.hello()).await;
         let hello = greeting.map_err(|_| ConnectionError::Dial(DialError::Timeout))??;
         self.check_member(&hello)?;
         *self.outgoing.borrow_mut() = Some(outgoing);
         self.open(&hello);
         loop {
-            let patience = self.news.heartbeat_interval() * DEAD_INTERVALS;
-            let message = timeout(patience, reader.next()).await;
+            let idle_timeout = self.delegate.heartbeat_interval() * DEAD_INTERVALS;
+            let message = timeout(idle_timeout, reader.next()).await;
             let message = message.map_err(|_| ConnectionError::Dial(DialError::Timeout))??;
-            self.note_heard();
-            self.take(message);
+            self.record_activity();
+            self.handle(message);
         }
     }
 
-    /// Refuses another node that was given the address of this one, which is gone.
+    /// Rejects a node that was assigned the address of the expected one, which is gone.
     ///
-    /// It would get the requests of a service that it does not serve: on a played day with one
-    /// upstream of a service left, 35 % of what ended badly was put down to such a node, while the
-    /// full upstream beside it was what callers had to be told of. The service is compared as well,
-    /// since a row of the store that somebody else wrote may bear the name and address of a node.
+    /// It would receive requests for a service that it does not serve. In a simulated day with one
+    /// remaining upstream of a service, 35 % of the failures were attributed to such a node, though
+    /// the actual cause was that the remaining upstream was overloaded. The service is compared as
+    /// well, because a row that was not written by a node may contain the name and address of one.
     fn check_member(&self, hello: &Hello) -> Result<(), ConnectionError> {
         match &hello.member {
             Some(member)
@@ -99,11 +99,11 @@
 
     fn open(&self, hello: &Hello) {
         let member = hello.member.clone().unwrap_or_default();
-        // A life is never zero, which stands for no connection.
-        self.life.set(Incarnation(member.incarnation.max(1)));
+        // Zero means that there is no connection, so an incarnation is at least one.
+        self.incarnation.set(Incarnation(member.incarnation.max(1)));
         self.state.set(member.state());
         self.slots.set(member.slots);
-        self.note_heard();
+        self.record_activity();
         self.lost_since.set(None);
         emit(&catalogue::PEER_CONNECTED, &[("node", &self.member.name)]);
     }
@@ -117,9 +117,10 @@
             return;
         };
         let is_stranger = matches!(error, ConnectionError::Stranger(_));
-        // The address may be tried again for minutes, until the row of the node is removed.
-        let is_news = is_stranger && !self.strange.replace(is_stranger);
-        if was_open || is_news {
+        // Reconnection attempts to the address may go on for minutes, until the row of the node is
+        // removed. The wrong node is logged only once.
+        let is_first = is_stranger && !self.found_stranger.replace(is_stranger);
+        if was_open || is_first {
             emit(
                 &catalogue::PEER_LOST,
                 &[("node", &self.member.name), ("reason", error)],
--- a/crates/mesh/src/peer/link/liveness.rs
+++ b/crates/mesh/src/peer/link/liveness.rs
@@ -1,9 +1,9 @@
-//! Finds out whether a node from which something is awaited still works.
+//! Failure detection for nodes from which a response is pending.
 //!
-//! Nodes say what they are like the less often, the more of them there are:
-//! among 194 nodes every 1.9 s. That is too seldom to notice by it that one
-//! has stopped, so a node from which an answer is awaited is asked. What that
-//! costs grows with the requests that wait, not with the nodes.
+//! The interval between presence messages grows with the number of nodes: it
+//! is 1.9 s in a mesh of 194. That is too long for detecting a stopped node,
+//! so nodes with pending responses are pinged. The cost grows with the number
+//! of pending requests, not with the number of nodes.
 
 use std::time::Duration;
 
@@ -19,52 +19,55 @@
 use crate::request::Response;
 use crate::store::StoreTime;
 
-/// A node from which nothing came for this many of its intervals gets no new requests.
+/// Number of heartbeat intervals without any message after which a node gets no new requests.
 const SILENT_INTERVALS: u32 = 3;
-/// How long nothing may come while an answer is awaited before the node is asked, and before it is
-/// asked again: the same as between two messages of the nodes of a small mesh.
-const PING_PAUSE: Duration = Duration::from_millis(300);
-/// A node that has not answered this many pings gets no new requests: that is 0.9 s after it
-/// stopped, at any number of nodes. By the interval of 194 nodes alone it would be 5.8 s.
+/// Time without any message before a node with a pending response is pinged, and pinged again.
+/// Equal to the heartbeat interval of a small mesh.
+const PING_INTERVAL: Duration = Duration::from_millis(300);
+/// Number of unanswered pings after which a node gets no new requests: 0.9 s after it stopped,
+/// independent of the number of nodes. With the heartbeat interval of 194 nodes alone it would take
+/// 5.8 s.
 const SILENT_PINGS: u32 = 3;
-/// The connection to a node that has not answered this many pings, for 2.4 s, is closed. An
-/// instance that stands still for 2 s and goes on loses nothing by it.
+/// Number of unanswered pings after which the connection is closed: after 2.4 s, so that an
+/// instance that freezes for 2 s loses no requests.
 const DEAD_PINGS: u32 = 8;
 
 impl Link {
     /// Returns true if the node seems to have stopped.
     ///
-    /// After a suspension of this instance every node does, until it is heard again.
+    /// After a suspension of the local instance this holds for every node until its next message.
     pub(crate) fn is_silent(&self) -> bool {
-        let silence = clock::now().since(self.heard.get());
-        silence > self.news.heartbeat_interval() * SILENT_INTERVALS
-            || self.unanswered.get() >= SILENT_PINGS
+        let silence = clock::now().since(self.last_received.get());
+        silence > self.delegate.heartbeat_interval() * SILENT_INTERVALS
+            || self.pings_since_received.get() >= SILENT_PINGS
     }
 
-    /// Notes that something came from the node.
-    pub(super) fn note_heard(&self) {
-        self.heard.set(clock::now());
-        self.unanswered.set(0);
+    /// Records that a message arrived from the node.
+    pub(super) fn record_activity(&self) {
+        self.last_received.set(clock::now());
+        self.pings_since_received.set(0);
     }
 
-    /// Takes in an answer to a ping, which was sent after the first one that is open.
-    pub(super) fn note_pong(&self, pong: Pong) {
-        self.open_pings.set(self.open_pings.get().saturating_sub(1));
+    /// Handles the response to a ping. The clock reading in it was taken after the first unanswered
+    /// ping was sent.
+    pub(super) fn handle_pong(&self, pong: Pong) {
+        self.pending_pings
+            .set(self.pending_pings.get().saturating_sub(1));
         if pong.store_at_most_ms > 0 {
             let at_most = StoreTime::from_millis(pong.store_at_most_ms);
             let era = Era(pong.store_era);
-            self.news
+            self.delegate
                 .handle_store_time(era, self.first_ping.get(), at_most);
         }
     }
 
-    /// Waits for a reply, and finds out meanwhile whether the node still works.
+    /// Waits for a reply and pings the node meanwhile to detect whether it stopped.
     pub(super) async fn await_reply(
         &self,
         mut receiver: oneshot::Receiver<Response>,
     ) -> Result<Response, oneshot::Canceled> {
         loop {
-            let pause = std::pin::pin!(sleep(PING_PAUSE));
+            let pause = std::pin::pin!(sleep(PING_INTERVAL));
             match select(&mut receiver, pause).await {
                 Either::Left((reply, _)) => return reply,
                 Either::Right(_) => self.ping_if_quiet(),
@@ -72,15 +75,14 @@
         }
     }
 
-    /// Asks the node for a sign of life if nothing came for a while; many requests may wait for it,
-    /// and one question serves all.
+    /// Sends a ping if there was no message for a while. All pending requests share one ping.
     fn ping_if_quiet(&self) {
         let now = clock::now();
-        let last = self.heard.get().max(self.pinged.get());
-        if !self.is_open() || now.since(last) < PING_PAUSE {
+        let last = self.last_received.get().max(self.last_ping.get());
+        if !self.is_open() || now.since(last) < PING_INTERVAL {
             return;
         }
-        if self.unanswered.get() >= DEAD_PINGS {
+        if self.pings_since_received.get() >= DEAD_PINGS {
             emit(
                 &catalogue::PEER_LOST,
                 &[
@@ -91,18 +93,19 @@
             self.disconnect();
             return;
         }
-        self.unanswered.set(self.unanswered.get() + 1);
+        self.pings_since_received
+            .set(self.pings_since_received.get() + 1);
         self.ping();
     }
 
-    /// Asks the node for a sign of life.
+    /// Sends a ping.
     pub(crate) fn ping(&self) {
         let now = clock::now();
-        if self.open_pings.replace(self.open_pings.get() + 1) == 0 {
+        if self.pending_pings.replace(self.pending_pings.get() + 1) == 0 {
             self.first_ping.set(now);
         }
-        self.pinged.set(now);
-        // A full channel counts as a ping too: nothing gets through to the node.
+        self.last_ping.set(now);
+        // A ping that finds the channel full counts as sent: the node does not read its connection.
         self.send(Body::Ping(Ping {}));
     }
 }
--- a/crates/mesh/src/peer/link/lost.rs
+++ b/crates/mesh/src/peer/link/lost.rs
@@ -1,9 +1,9 @@
-//! The requests that were lost together with a node.
+//! Requests that were lost together with the connection to a node.
 //!
-//! A node that ends tells nobody whether its upstream ended before it, and
-//! what ran there. Who sent the requests finds that out from the next life of
-//! the node: if another life of the upstream stands there, the earlier one
-//! ended meanwhile.
+//! A node that crashes cannot report whether its upstream crashed first, or
+//! which requests were running there. The sender of these requests learns it
+//! after reconnecting: if the node then reports another incarnation of its
+//! upstream, the earlier incarnation ended in the meantime.
 
 use std::cell::RefCell;
 
@@ -11,31 +11,31 @@
 
 use crate::key::UpstreamKey;
 
-/// The most requests that are kept for one node.
-const MOST_KEPT: usize = 256;
+/// Maximum number of requests kept per node.
+const MAX_REQUESTS: usize = 256;
 
-/// The requests that were lost together with a node.
+/// The requests lost together with a connection, and the upstream incarnation they were sent to.
 #[derive(Debug, Default)]
 pub(super) struct Lost(RefCell<Option<(UpstreamKey, Vec<Execution>)>>);
 
 impl Lost {
-    /// Keeps the requests that had been sent to this life of the upstream.
-    pub(super) fn keep(&self, upstream: &str, ran: impl Iterator<Item = Execution>) {
-        let ran: Vec<Execution> = ran.take(MOST_KEPT).collect();
-        // Without a name the node never said what stands beside it, so nothing was sent there.
+    /// Stores the requests that were in flight to an incarnation of the upstream.
+    pub(super) fn store(&self, upstream: &str, executions: impl Iterator<Item = Execution>) {
+        let executions: Vec<Execution> = executions.take(MAX_REQUESTS).collect();
+        // Without an identity the node has not reported an upstream, so no requests were sent.
         let Ok(upstream) = upstream.parse() else {
             return;
         };
-        if !ran.is_empty() {
-            self.0.replace(Some((upstream, ran)));
+        if !executions.is_empty() {
+            self.0.replace(Some((upstream, executions)));
         }
     }
 
-    /// Takes in which life stands there now; returns the earlier one, with the requests, if it is
-    /// another one.
-    pub(super) fn settle(&self, present: &str) -> Option<(UpstreamKey, Vec<Execution>)> {
-        let present: UpstreamKey = present.parse().ok()?;
-        let (upstream, ran) = self.0.take()?;
-        (!upstream.is_same_incarnation(&present)).then_some((upstream, ran))
+    /// Compares the current incarnation with the stored one; returns the stored one, with its
+    /// requests, if they differ.
+    pub(super) fn settle(&self, current: &str) -> Option<(UpstreamKey, Vec<Execution>)> {
+        let current: UpstreamKey = current.parse().ok()?;
+        let (upstream, executions) = self.0.take()?;
+        (!upstream.is_same_incarnation(&current)).then_some((upstream, executions))
     }
 }
--- a/crates/mesh/src/peer/link/mod.rs
+++ b/crates/mesh/src/peer/link/mod.rs
@@ -1,4 +1,4 @@
-//! The connection to one other node, opened anew whenever it is lost.
+//! The outgoing connection to one other node, which is reopened whenever it is lost.
 
 mod connection;
 mod liveness;
@@ -27,240 +27,244 @@
 use crate::directory::Member;
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::peer::Delegate;
-use crate::peer::convert::{CHUNK, work_to_wire};
+use crate::peer::convert::{MAX_CHUNK, request_to_wire};
 use crate::peer::link::lost::Lost;
 use crate::peer::reassembly::Reassembly;
 use crate::request::{Request, Response};
 use crate::routing::PeerLoad;
 use crate::watch::Priority;
 
-/// How long a lost request is asked for before its fate is taken for unknown.
-const RECALL_TIME: Duration = Duration::from_millis(2500);
-/// How often a connection that is being opened is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+/// How long to query the outcome of a lost request before it is reported as unknown.
+const RECALL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How often to check whether the connection is open.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What waits for a message of the other node.
+/// A pending response of the other node.
 enum Pending {
-    /// The request that it is the reply to, unless that was sent earlier.
+    /// The reply to a request, with the request itself, or to a recall of an earlier request.
     Reply(oneshot::Sender<Response>, Option<Execution>),
     Retired(oneshot::Sender<()>),
 }
 
-/// What became of a request that was handed to a link.
+/// The result of sending a request over a link.
 pub(crate) enum Delivery {
-    /// The other node answered.
+    /// The other node responded.
     Answered(Response),
     /// Nothing was sent.
     Unsent,
-    /// The connection to this life of the other node broke before the answer came.
+    /// The connection was lost before the response arrived; contains the incarnation of the node
+    /// that the request was sent to.
     Lost(Incarnation),
 }
 
-/// The connection to one other node.
+/// The outgoing connection to one other node, with what the node reports about itself.
 pub(crate) struct Link {
     pub(crate) member: Rc<Member>,
     pub(crate) load: RefCell<PeerLoad>,
     source: IpAddr,
-    news: Rc<dyn Delegate>,
+    delegate: Rc<dyn Delegate>,
     outgoing: RefCell<Option<mpsc::Sender<Body>>>,
     pending: RefCell<HashMap<u64, Pending>>,
     replies: RefCell<HashMap<u64, Reassembly<Reply>>>,
-    /// Where the chunks of streamed bodies go.
+    /// Channels for the chunks of streamed bodies, by exchange.
     streams: RefCell<HashMap<u64, mpsc::UnboundedSender<Chunk>>>,
-    fetching: RefCell<Vec<oneshot::Sender<Config>>>,
+    config_requests: RefCell<Vec<oneshot::Sender<Config>>>,
     lost: Lost,
     next_exchange: Cell<u64>,
-    /// The life of the other node; zero while it is not connected.
-    life: Cell<Incarnation>,
+    /// The incarnation of the other node; zero while it is not connected.
+    incarnation: Cell<Incarnation>,
     state: Cell<State>,
-    /// The upstream beside the node, the last one that took requests.
+    /// The incarnation of the node's upstream that last accepted requests.
     upstream: RefCell<String>,
     slots: Cell<u32>,
-    heard: Cell<Moment>,
-    /// How many pings on this connection have no answer,
-    open_pings: Cell<u32>,
-    /// when the first of them was sent,
+    /// When the last message arrived.
+    last_received: Cell<Moment>,
+    /// Number of pings on this connection without a pong.
+    pending_pings: Cell<u32>,
+    /// When the first of these pings was sent.
     first_ping: Cell<Moment>,
-    /// when the last ping was sent,
-    pinged: Cell<Moment>,
-    /// and how many were sent since anything came.
-    unanswered: Cell<u32>,
+    /// When the last ping was sent.
+    last_ping: Cell<Moment>,
+    /// Number of pings sent since the last message of any kind arrived.
+    pings_since_received: Cell<u32>,
     lost_since: Cell<Option<Instant>>,
     closed: Cell<bool>,
-    /// Another node was found at its address.
-    strange: Cell<bool>,
-    /// Where the node stands among those that follow the store.
-    place: Priority,
-    /// The store does not answer it.
+    /// Whether another node was found at the address.
+    found_stranger: Cell<bool>,
+    /// The position of the node in the order of watchers of the store.
+    priority: Priority,
+    /// Whether the node cannot reach the store.
     store_lost: Cell<bool>,
-    /// Its term as the allocator of its failure domain's tokens; zero if it is not.
+    /// The node's term as quota allocator of its failure domain; zero if it is not the allocator.
     quota_term: Cell<u64>,
-    /// Who waits for tokens, by the number of the question.
-    asking: RefCell<HashMap<u64, oneshot::Sender<TokenAnswer>>>,
-    own: Weak<Self>,
+    /// Pending token requests, by exchange.
+    token_requests: RefCell<HashMap<u64, oneshot::Sender<TokenAnswer>>>,
+    this: Weak<Self>,
 }
 
 impl Link {
-    pub(crate) fn new(member: Rc<Member>, source: IpAddr, news: Rc<dyn Delegate>) -> Rc<Self> {
-        Rc::new_cyclic(|own| Self {
-            place: Priority::of(&member.name),
+    pub(crate) fn new(member: Rc<Member>, source: IpAddr, delegate: Rc<dyn Delegate>) -> Rc<Self> {
+        Rc::new_cyclic(|this| Self {
+            priority: Priority::of(&member.name),
             member,
             load: RefCell::default(),
             source,
-            news,
+            delegate,
             outgoing: RefCell::default(),
             pending: RefCell::default(),
             replies: RefCell::default(),
             streams: RefCell::default(),
-            own: Weak::clone(own),
-            fetching: RefCell::default(),
+            this: Weak::clone(this),
+            config_requests: RefCell::default(),
             lost: Lost::default(),
             next_exchange: Cell::new(1),
-            life: Cell::default(),
+            incarnation: Cell::default(),
             state: Cell::new(State::Joining),
             upstream: RefCell::default(),
             slots: Cell::new(0),
-            heard: Cell::new(clock::now()),
-            open_pings: Cell::new(0),
+            last_received: Cell::new(clock::now()),
+            pending_pings: Cell::new(0),
             first_ping: Cell::new(clock::now()),
-            pinged: Cell::new(clock::now()),
-            unanswered: Cell::new(0),
+            last_ping: Cell::new(clock::now()),
+            pings_since_received: Cell::new(0),
             lost_since: Cell::new(Some(Instant::now())),
             closed: Cell::new(false),
-            strange: Cell::new(false),
+            found_stranger: Cell::new(false),
             store_lost: Cell::new(false),
             quota_term: Cell::new(0),
-            asking: RefCell::default(),
+            token_requests: RefCell::default(),
         })
     }
 
-    /// Ends the link for good.
+    /// Closes the link permanently.
     pub(crate) fn close(&self) {
         self.closed.set(true);
         self.disconnect();
     }
 
-    /// Returns the life of the node; zero while it is not connected.
+    /// Returns the incarnation of the node; zero while it is not connected.
     pub(crate) fn incarnation(&self) -> Incarnation {
-        self.life.get()
+        self.incarnation.get()
     }
 
-    /// Returns true while requests can be sent.
+    /// Returns true while the connection is open.
     pub(crate) fn is_open(&self) -> bool {
-        self.life.get() != Incarnation::default()
+        self.incarnation.get() != Incarnation::default()
     }
 
-    /// Returns true if the node takes requests for its upstream, as far as is known.
+    /// Returns true if the node accepts requests for its upstream, according to its last message.
     pub(crate) fn is_serving(&self) -> bool {
         self.is_open() && self.state.get() == State::Serving && !self.is_silent()
     }
 
-    /// Returns true if the node follows the store when its place is among the first.
+    /// Returns true if the node watches the store when its priority is among the first.
     pub(crate) fn can_watch(&self) -> bool {
         let stays = self.state.get() != State::Leaving && !self.store_lost.get();
         self.is_open() && stays && !self.is_silent()
     }
 
-    /// Returns the node's term as the allocator of its failure domain's tokens; zero if it is not.
+    /// Returns the node's term as quota allocator of its failure domain; zero if it is not one.
     pub(crate) fn quota_term(&self) -> u64 {
         self.quota_term.get()
     }
 
-    /// Asks the node for tokens; returns nothing if the question is lost.
+    /// Requests tokens from the node; returns `None` if the connection is lost.
     pub(crate) async fn request_tokens(&self, question: TokenQuestion) -> Option<TokenAnswer> {
         let (sender, receiver) = oneshot::channel();
-        self.asking.borrow_mut().insert(question.exchange, sender);
+        self.token_requests
+            .borrow_mut()
+            .insert(question.exchange, sender);
         if !self.is_open() || !self.send(Body::TokenQuestion(question)) {
             return None;
         }
         receiver.await.ok()
     }
 
-    /// Gives up all questions for tokens.
+    /// Cancels all pending token requests.
     pub(crate) fn cancel_token_requests(&self) {
-        self.asking.borrow_mut().clear();
+        self.token_requests.borrow_mut().clear();
     }
 
-    /// Returns where the node stands among those that follow the store.
+    /// Returns the position of the node in the order of watchers of the store.
     pub(crate) fn priority(&self) -> Priority {
-        self.place
+        self.priority
     }
 
-    /// Returns how many requests the upstream of the node works on at once.
+    /// Returns how many requests the upstream of the node processes concurrently.
     pub(crate) fn slots(&self) -> u32 {
         self.slots.get()
     }
 
-    /// Returns for how long the node could not be reached while this instance tried to: a
-    /// suspension of this one says nothing about the other.
+    /// Returns how long the node has been unreachable. Suspensions of the local instance are not
+    /// counted, since they say nothing about the other node.
     pub(crate) fn unreachable_for(&self, now: Instant) -> Duration {
         let since = self.lost_since.get();
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Sends a request and waits for what becomes of it; dropping the future cancels it.
-    pub(crate) async fn forward(&self, work: &Request) -> Delivery {
-        let life = self.life.get();
-        let ran = Execution {
-            identity: work.identity,
-            known_crashes: work.known_crashes,
+    /// Sends a request and waits for the response. Dropping the future cancels the request.
+    pub(crate) async fn forward(&self, request: &Request) -> Delivery {
+        let incarnation = self.incarnation.get();
+        let execution = Execution {
+            identity: request.identity,
+            known_crashes: request.known_crashes,
             succeeded_recently: false,
         };
-        let (exchange, receiver) = self.begin_reply(Some(ran));
+        let (exchange, receiver) = self.begin_reply(Some(execution));
         let guard = CancelGuard {
             link: self,
             exchange,
         };
-        if !self.send_work(exchange, work).await {
-            guard.forget();
+        if !self.send_request(exchange, request).await {
+            guard.disarm();
             return Delivery::Unsent;
         }
         let delivery = match self.await_reply(receiver).await {
-            Ok(returned) => Delivery::Answered(returned),
-            Err(_) => Delivery::Lost(life),
+            Ok(response) => Delivery::Answered(response),
+            Err(_) => Delivery::Lost(incarnation),
         };
-        guard.forget();
+        guard.disarm();
         delivery
     }
 
-    /// Asks what became of a request that was sent to a life of the node.
+    /// Queries the outcome of a request that was sent to an incarnation of the node.
     ///
-    /// The answer is final: a request that never ran never will.
-    pub(crate) async fn recall(&self, attempt: &AttemptKey, life: Incarnation) -> Response {
-        let asking = async {
+    /// The outcome is final: if the request did not run, it never will.
+    pub(crate) async fn recall(&self, attempt: &AttemptKey, incarnation: Incarnation) -> Response {
+        let query = async {
             loop {
-                if self.is_open() && self.life.get() != life {
+                if self.is_open() && self.incarnation.get() != incarnation {
                     return Response::unknown(Reason::HomeGone);
                 }
                 let (exchange, receiver) = self.begin_reply(None);
                 let recall = Recall {
                     exchange,
                     id: attempt.to_string(),
-                    incarnation: life.0,
+                    incarnation: incarnation.0,
                 };
                 if self.is_open()
                     && self.send(Body::Recall(recall))
-                    && let Ok(returned) = receiver.await
+                    && let Ok(response) = receiver.await
                 {
-                    return returned;
+                    return response;
                 }
                 self.pending.borrow_mut().remove(&exchange);
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        let asked = timeout(RECALL_TIME, asking).await;
-        asked.unwrap_or_else(|_| Response::unknown(Reason::Connection))
+        let outcome = timeout(RECALL_TIMEOUT, query).await;
+        outcome.unwrap_or_else(|_| Response::unknown(Reason::Connection))
     }
 
-    /// Asks the node to remember that an upstream leaves; returns true if it does.
+    /// Asks the node to record the retirement of an upstream; returns true if it did.
     ///
-    /// A connection that is just being opened is waited for: after a start an upstream may leave
-    /// before its node has met the others.
+    /// It waits for the connection, since an upstream may retire shortly after the start, before
+    /// its node is connected to its peers.
     pub(crate) async fn replicate_retirement(&self, upstream: &UpstreamKey) -> bool {
         while !self.is_open() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        let exchange = self.next();
+        let exchange = self.next_id();
         let (sender, receiver) = oneshot::channel();
         let pending = Pending::Retired(sender);
         self.pending.borrow_mut().insert(exchange, pending);
@@ -271,10 +275,10 @@
         self.send(Body::Retire(retire)) && receiver.await.is_ok()
     }
 
-    /// Returns the configuration of the node if it is above `version`.
+    /// Fetches the configuration of the node if its version is above `version`.
     pub(crate) async fn fetch(&self, version: ConfigVersion) -> Option<Config> {
         let (sender, receiver) = oneshot::channel();
-        self.fetching.borrow_mut().push(sender);
+        self.config_requests.borrow_mut().push(sender);
         let fetch = Fetch { version: version.0 };
         if !self.send(Body::Fetch(fetch)) {
             return None;
@@ -282,16 +286,16 @@
         receiver.await.ok()
     }
 
-    /// Lets the other node send one more chunk of a streamed body.
+    /// Grants the other node one more chunk of a streamed body.
     pub(super) fn grant(&self, exchange: u64) {
-        // Through a full channel nothing goes, and the body breaks off at its reader's timeout.
+        // If the channel is full the grant is lost, and the reader of the body times out.
         self.send(Body::Grant(Grant {
             exchange,
             chunks: 1,
         }));
     }
 
-    /// Forgets a streamed body; one that has not ended is cancelled.
+    /// Ends the reading of a streamed body; cancels it if it is incomplete.
     pub(super) fn end_stream(&self, exchange: u64, ended: bool) {
         self.streams.borrow_mut().remove(&exchange);
         if !ended {
@@ -299,37 +303,37 @@
         }
     }
 
-    fn next(&self) -> u64 {
+    fn next_id(&self) -> u64 {
         let exchange = self.next_exchange.get();
         self.next_exchange.set(exchange + 1);
         exchange
     }
 
-    fn begin_reply(&self, ran: Option<Execution>) -> (u64, oneshot::Receiver<Response>) {
-        let exchange = self.next();
+    fn begin_reply(&self, execution: Option<Execution>) -> (u64, oneshot::Receiver<Response>) {
+        let exchange = self.next_id();
         let (sender, receiver) = oneshot::channel();
-        let pending = Pending::Reply(sender, ran);
+        let pending = Pending::Reply(sender, execution);
         self.pending.borrow_mut().insert(exchange, pending);
         (exchange, receiver)
     }
 
-    /// Queues a message; returns false if it will certainly not be sent.
+    /// Queues a message; returns false if it is certain not to be sent.
     fn send(&self, body: Body) -> bool {
         let mut outgoing = self.outgoing.borrow_mut();
         let outgoing = outgoing.as_mut();
         outgoing.is_some_and(|outgoing| outgoing.try_send(body).is_ok())
     }
 
-    async fn send_work(&self, exchange: u64, work: &Request) -> bool {
-        if !self.is_open() || !self.send(Body::Forward(work_to_wire(exchange, work))) {
+    async fn send_request(&self, exchange: u64, request: &Request) -> bool {
+        if !self.is_open() || !self.send(Body::Forward(request_to_wire(exchange, request))) {
             return false;
         }
         let Some(mut outgoing) = self.outgoing.borrow().clone() else {
             return true;
         };
-        let mut rest = work.body.slice(work.body.len().min(CHUNK)..);
+        let mut rest = request.body.slice(request.body.len().min(MAX_CHUNK)..);
         while !rest.is_empty() {
-            let data = rest.split_to(rest.len().min(CHUNK));
+            let data = rest.split_to(rest.len().min(MAX_CHUNK));
             let chunk = Body::Chunk(Chunk {
                 exchange,
                 data,
@@ -342,38 +346,38 @@
         true
     }
 
-    fn take(&self, message: Body) {
+    fn handle(&self, message: Body) {
         match message {
-            Body::Reply(reply) => self.take_reply(reply),
-            Body::Chunk(chunk) => self.take_chunk(chunk),
-            Body::Presence(presence) => self.take_presence(&presence),
-            Body::Evidence(evidence) => self.news.handle_evidence(&evidence),
+            Body::Reply(reply) => self.handle_reply(reply),
+            Body::Chunk(chunk) => self.handle_chunk(chunk),
+            Body::Presence(presence) => self.handle_presence(&presence),
+            Body::Evidence(evidence) => self.delegate.handle_evidence(&evidence),
             Body::Retired(retired) => {
                 let waiting = self.pending.borrow_mut().remove(&retired.exchange);
                 if let Some(Pending::Retired(sender)) = waiting {
-                    // Who asked may have stopped waiting.
+                    // The caller may have stopped waiting.
                     let _ = sender.send(());
                 }
             }
-            Body::Pong(pong) => self.note_pong(pong),
+            Body::Pong(pong) => self.handle_pong(pong),
             Body::TokenAnswer(answer) => {
-                if let Some(waiting) = self.asking.borrow_mut().remove(&answer.exchange) {
-                    // Who asked may have given up.
+                if let Some(waiting) = self.token_requests.borrow_mut().remove(&answer.exchange) {
+                    // The caller may have stopped waiting.
                     let _ = waiting.send(answer);
                 }
             }
             Body::Config(config) => {
-                for waiting in self.fetching.borrow_mut().drain(..) {
+                for waiting in self.config_requests.borrow_mut().drain(..) {
                     // The fetch may have timed out.
                     let _ = waiting.send(config.clone());
                 }
             }
-            // Everything else is for the other direction.
+            // All other messages are sent in the opposite direction only.
             _ => {}
         }
     }
 
-    fn take_presence(&self, presence: &Presence) {
+    fn handle_presence(&self, presence: &Presence) {
         if !presence.upstream.is_empty() && *self.upstream.borrow() != presence.upstream {
             self.upstream.replace(presence.upstream.clone());
             self.load.borrow_mut().reset();
@@ -389,43 +393,43 @@
         let mut load = self.load.borrow_mut();
         load.record_report(Instant::now(), percent, pace);
         drop(load);
-        self.news.handle_presence(&self.member.name, presence);
-        if self.news.wants_store_time() && self.open_pings.get() == 0 {
+        self.delegate.handle_presence(&self.member.name, presence);
+        if self.delegate.wants_store_time() && self.pending_pings.get() == 0 {
             self.ping();
         }
-        if let Some((upstream, ran)) = self.lost.settle(&presence.upstream) {
-            self.news.handle_crash(&upstream, &ran);
+        if let Some((upstream, execution)) = self.lost.settle(&presence.upstream) {
+            self.delegate.handle_crash(&upstream, &execution);
         }
     }
 
     fn disconnect(&self) {
-        self.life.set(Incarnation::default());
+        self.incarnation.set(Incarnation::default());
         self.state.set(State::Joining);
         self.quota_term.set(0);
-        self.open_pings.set(0);
+        self.pending_pings.set(0);
         self.cancel_token_requests();
         *self.outgoing.borrow_mut() = None;
         let pending = std::mem::take(&mut *self.pending.borrow_mut());
-        let ran = pending.into_values().filter_map(|pending| match pending {
-            Pending::Reply(_, ran) => ran,
+        let execution = pending.into_values().filter_map(|pending| match pending {
+            Pending::Reply(_, execution) => execution,
             Pending::Retired(_) => None,
         });
-        self.lost.keep(&self.upstream.borrow(), ran);
+        self.lost.store(&self.upstream.borrow(), execution);
         self.replies.borrow_mut().clear();
         self.streams.borrow_mut().clear();
-        self.fetching.borrow_mut().clear();
+        self.config_requests.borrow_mut().clear();
     }
 }
 
-/// Cancels a request whose caller stops waiting before the answer has come.
+/// Cancels a request if its caller stops waiting before the response arrives.
 struct CancelGuard<'a> {
     link: &'a Link,
     exchange: u64,
 }
 
 impl CancelGuard<'_> {
-    /// Ends the guard of a request that is over.
-    fn forget(self) {
+    /// Disarms the guard of a finished request.
+    fn disarm(self) {
         self.link.pending.borrow_mut().remove(&self.exchange);
     }
 }
--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -1,4 +1,4 @@
-//! A node that has stopped is found out by what waits for it, at any number of nodes.
+//! Detection of stopped nodes by pings, independent of the number of nodes.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::rc::Rc;
@@ -25,14 +25,14 @@
 use crate::request::Request;
 use crate::store::StoreTime;
 
-/// How often the nodes of a small mesh say what they are like.
+/// Heartbeat interval of a small mesh.
 const SMALL_MESH_INTERVAL: Duration = Duration::from_millis(300);
-/// How often 194 nodes say what they are like.
+/// Heartbeat interval of a mesh of 194 nodes.
 const INTERVAL: Duration = Duration::from_millis(1940);
 
-struct Quiet(MemberMessage, Duration);
+struct Stub(MemberMessage, Duration);
 
-impl Delegate for Quiet {
+impl Delegate for Stub {
     fn heartbeat_interval(&self) -> Duration {
         self.1
     }
@@ -63,7 +63,7 @@
     }
 }
 
-fn work() -> Request {
+fn request() -> Request {
     Request {
         workspace: None,
         completed_calls: 0,
@@ -83,18 +83,18 @@
     }
 }
 
-/// Plays a node that takes requests and never answers; it answers pings if `works`.
-async fn play(stream: TcpStream, own: MemberMessage, works: bool) {
+/// Simulates a node that accepts requests and never responds; it answers pings if `is_alive`.
+async fn simulate(stream: TcpStream, own: MemberMessage, is_alive: bool) {
     let (read, write) = stream.into_split();
     let (mut outgoing, frames) = mpsc::channel(8);
     task::spawn("writer", async move {
-        // The end of the test ends it.
+        // Writing fails when the test ends.
         let _ = write_frames(write, frames).await;
     });
     let mut reader = FrameReader::new(read);
     outgoing.send(hello(own)).await.expect("there is room");
     while let Ok(message) = reader.next().await {
-        if works && matches!(message, Body::Ping(_)) {
+        if is_alive && matches!(message, Body::Ping(_)) {
             outgoing
                 .send(Body::Pong(Pong::default()))
                 .await
@@ -103,100 +103,110 @@
     }
 }
 
-/// Sends a request to such a node and looks at the link after `time`.
-fn after(time: Duration, works: bool, look: impl FnOnce(&Link, bool) + 'static) {
-    let played = async move {
+/// Sends a request to a simulated node and checks the link after `time`.
+fn check_after(time: Duration, is_alive: bool, check: impl FnOnce(&Link, bool) + 'static) {
+    let test = async move {
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let listener = TcpListener::bind((local, 0)).expect("a port is free");
         let address = listener.local_addr().expect("it has one");
         let member = member(address);
         let own = member.to_wire(Incarnation(1), State::Serving, 8);
-        let told = own.clone();
+        let greeting = own.clone();
         task::spawn("node", async move {
             let (stream, _) = listener.accept().await.expect("a connection");
-            play(stream, told, works).await;
+            simulate(stream, greeting, is_alive).await;
         });
-        let link = Link::new(Rc::new(member), local, Rc::new(Quiet(own, INTERVAL)));
+        let link = Link::new(Rc::new(member), local, Rc::new(Stub(own, INTERVAL)));
         task::spawn("link", Rc::clone(&link).run());
         while !link.is_open() {
             sleep(Duration::from_millis(5)).await;
         }
-        let (sender, mut ended) = mpsc::channel(1);
+        let (sender, mut outcome) = mpsc::channel(1);
         let caller = Rc::clone(&link);
         task::spawn("caller", async move {
-            let delivery = caller.forward(&work()).await;
+            let delivery = caller.forward(&request()).await;
             let mut sender = sender;
             let is_lost = matches!(delivery, Delivery::Lost(_));
             sender.send(is_lost).await.expect("there is room");
         });
         sleep(time).await;
-        let is_lost = futures::FutureExt::now_or_never(ended.next()) == Some(Some(true));
-        look(&link, is_lost);
+        let is_lost = futures::FutureExt::now_or_never(outcome.next()) == Some(Some(true));
+        check(&link, is_lost);
         link.close();
     };
-    runtime::run(played).expect("a runtime");
+    runtime::run(test).expect("a runtime");
 }
 
 #[test]
 fn stopped_node() {
-    after(Duration::from_millis(1300), false, |link, _| {
-        assert!(!link.is_serving(), "no new requests go there");
+    check_after(Duration::from_millis(1300), false, |link, _| {
+        assert!(
+            !link.is_serving(),
+            "the stopped node still gets new requests"
+        );
     });
 }
 
 #[test]
 fn lost_request() {
-    after(Duration::from_millis(3500), false, |_, is_lost| {
-        assert!(is_lost, "its caller can be told, or it is sent elsewhere");
+    check_after(Duration::from_millis(3500), false, |_, is_lost| {
+        assert!(is_lost, "the pending request was not ended");
     });
 }
 
 #[test]
 fn slow_answer() {
-    after(Duration::from_millis(3500), true, |link, is_lost| {
-        assert!(link.is_serving(), "it works on the request");
+    check_after(Duration::from_millis(3500), true, |link, is_lost| {
+        assert!(
+            link.is_serving(),
+            "a node that answers pings takes requests"
+        );
         assert!(!is_lost);
     });
 }
 
-/// A link that was heard a moment ago, by a clock that stood still, says nothing of the node.
+/// After a suspension of the local instance a node counts as unresponsive until its next message,
+/// although by a clock that stopped meanwhile its last message is recent.
 #[test]
 fn suspended_meanwhile() {
     for time in SUSPENSIONS {
-        let played = async move {
+        let test = async move {
             let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
             let listener = TcpListener::bind((local, 0)).expect("a port is free");
             let member = member(listener.local_addr().expect("it has one"));
             let own = member.to_wire(Incarnation(1), State::Serving, 8);
-            let told = own.clone();
+            let greeting = own.clone();
             task::spawn("node", async move {
                 let (stream, _) = listener.accept().await.expect("a connection");
-                play(stream, told, true).await;
+                simulate(stream, greeting, true).await;
             });
-            let news = Rc::new(Quiet(own, SMALL_MESH_INTERVAL));
-            let link = Link::new(Rc::new(member), local, news);
+            let delegate = Rc::new(Stub(own, SMALL_MESH_INTERVAL));
+            let link = Link::new(Rc::new(member), local, delegate);
             task::spawn("link", Rc::clone(&link).run());
             while !link.is_open() {
                 sleep(Duration::from_millis(5)).await;
             }
             assert!(link.is_serving());
             clock::suspend(time);
-            assert!(!link.is_serving(), "nothing is known after {time:?}");
+            assert!(
+                !link.is_serving(),
+                "the node counts as responsive after {time:?}"
+            );
             link.ping();
             sleep(Duration::from_millis(100)).await;
-            assert!(link.is_serving(), "it answered");
+            assert!(link.is_serving(), "the node answered the ping");
             link.close();
         };
-        runtime::run(played).expect("a runtime");
+        runtime::run(test).expect("a runtime");
     }
 }
 
-/// What is left of a request's time is less by a suspension.
+/// The time of a suspension counts against the deadline of a request.
 #[test]
 fn time_left_shrinks() {
-    let work = work();
+    let request = request();
     clock::suspend(Duration::from_secs(4));
-    assert!(work.time_left() <= Duration::from_secs(6));
+    assert!(request.time_left() <= Duration::from_secs(6));
     clock::suspend(Duration::from_secs(30));
-    assert_eq!(work.time_left(), Duration::ZERO);
+    assert_eq!(request.time_left(), Duration::ZERO);
 }
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes.
+//! Connections between nodes. Each node keeps a link to every other node that it knows.
 
 mod accept;
 mod convert;
@@ -31,53 +31,54 @@
 use crate::store::StoreTime;
 use crate::watch::Priority;
 
-/// A node whose row is gone is kept while it can be reached, and this long after.
-const LOST_TIME: Duration = Duration::from_secs(2);
-/// How many other nodes must remember a leaving upstream while the store does not answer.
-const WITNESSES: usize = 2;
+/// How long after the loss of its connection a node without a row is forgotten.
+const FORGET_DELAY: Duration = Duration::from_secs(2);
+/// Number of peers that must record a retired upstream if the store does not respond.
+const RETIREMENT_REPLICAS: usize = 2;
 
-/// What a link needs to know of its own node, and whom it tells of the other one.
+/// The local node as seen by its links: provides its state and handles messages of peers.
 pub(crate) trait Delegate {
-    /// Returns how often nodes say what they are like.
+    /// Returns the interval between two presence messages of a node.
     fn heartbeat_interval(&self) -> Duration;
 
-    /// Returns what a connection begins with.
+    /// Returns the entry of the local node that is sent in the handshake.
     fn local_member(&self) -> MemberMessage;
 
-    /// Takes in what another node says.
+    /// Handles a presence message.
     fn handle_presence(&self, from: &NodeName, presence: &Presence);
 
-    /// Returns true if another node is to be asked what the store's clock shows.
+    /// Returns true if a peer should be asked for a reading of the store's clock.
     fn wants_store_time(&self) -> bool;
 
-    /// Takes in that the store's clock showed at most this at that moment, in an era of the store.
+    /// Handles an upper bound of the store's clock at the local time `at`, in an era of the store.
     fn handle_store_time(&self, era: Era, at: Moment, at_most: StoreTime);
 
-    /// Takes in what another node knows of requests that may end upstreams.
+    /// Handles the crash records of a peer.
     fn handle_evidence(&self, evidence: &Evidence);
 
-    /// Takes in that a life of an upstream ended unannounced, with these requests of this node.
-    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Execution]);
+    /// Handles the crash of an incarnation of an upstream, with the requests that this node had in
+    /// flight there.
+    fn handle_crash(&self, upstream: &UpstreamKey, executions: &[Execution]);
 }
 
-/// The links to the nodes of one service.
+/// The links to the nodes of one service, with the average load of their upstreams.
 #[derive(Clone, Default)]
 pub(crate) struct Group {
-    /// Those in the own failure domain,
+    /// Links to nodes in the failure domain of this node.
     pub(crate) same_domain: Vec<Rc<Link>>,
-    /// and those in the others.
+    /// Links to nodes in other failure domains.
     pub(crate) other_domains: Vec<Rc<Link>>,
-    /// How full the near ones are together,
+    /// Load of the upstreams in the same domain together, including the local one.
     pub(crate) same_domain_levels: Rc<RefCell<Levels>>,
-    /// and the far ones.
+    /// Load of the upstreams in other domains together.
     pub(crate) other_domain_levels: Rc<RefCell<Levels>>,
 }
 
-/// The links to all nodes that are known.
+/// The links to all known nodes.
 pub(crate) struct Peers {
     source: IpAddr,
     domain: DomainName,
-    news: Rc<dyn Delegate>,
+    delegate: Rc<dyn Delegate>,
     links: RefCell<BTreeMap<NodeName, Rc<Link>>>,
     by_service: RefCell<BTreeMap<ServiceName, Rc<Group>>>,
 }
@@ -87,11 +88,11 @@
 }
 
 impl Peers {
-    pub(crate) fn new(source: IpAddr, domain: DomainName, news: Rc<dyn Delegate>) -> Self {
+    pub(crate) fn new(source: IpAddr, domain: DomainName, delegate: Rc<dyn Delegate>) -> Self {
         Self {
             source,
             domain,
-            news,
+            delegate,
             links: RefCell::default(),
             by_service: RefCell::default(),
         }
@@ -102,16 +103,16 @@
         self.by_service.borrow().get(service).cloned()
     }
 
-    /// Returns what is kept about the own upstream, which counts among the near ones.
+    /// Returns a load record for the local upstream, which counts as one of the same domain.
     pub(crate) fn local_load(&self, service: &ServiceName) -> Rc<RefCell<PeerLoad>> {
         let mut by_service = self.by_service.borrow_mut();
-        let placed = by_service.entry(service.clone()).or_default();
+        let group = by_service.entry(service.clone()).or_default();
         Rc::new(RefCell::new(PeerLoad::with_levels(
-            &placed.same_domain_levels,
+            &group.same_domain_levels,
         )))
     }
 
-    /// Returns the links to nodes whose upstreams this node has sent requests to.
+    /// Returns the links to nodes whose upstreams have been sent requests by this node.
     pub(crate) fn with_known_load(&self) -> Vec<Rc<Link>> {
         let links = self.links.borrow();
         let used = links.values().filter(|link| link.load.borrow().is_known());
@@ -123,55 +124,57 @@
         self.links.borrow().get(name).cloned()
     }
 
-    /// Returns how many links are open.
+    /// Returns the number of open links.
     pub(crate) fn open_count(&self) -> usize {
         let links = self.links.borrow();
         links.values().filter(|link| link.is_open()).count()
     }
 
-    /// Returns how many other nodes take requests for their upstreams.
+    /// Returns the number of other nodes that accept requests for their upstreams.
     pub(crate) fn serving_count(&self) -> usize {
         let links = self.links.borrow();
         links.values().filter(|link| link.is_serving()).count()
     }
 
-    /// Returns true if more of the nodes that can be reached were started at least `time` before
-    /// this life than after.
-    pub(crate) fn majority_started_before(&self, life: Incarnation, time: Duration) -> bool {
+    /// Returns true if more than half of the connected nodes were started at least `time` before
+    /// this incarnation of the local node.
+    pub(crate) fn majority_started_before(&self, incarnation: Incarnation, time: Duration) -> bool {
         let links = self.links.borrow();
         let open: Vec<_> = links.values().filter(|link| link.is_open()).collect();
-        let is_older =
-            |link: &&&Rc<Link>| incarnation::start_difference(link.incarnation(), life) >= time;
+        let is_older = |link: &&&Rc<Link>| {
+            incarnation::start_difference(link.incarnation(), incarnation) >= time
+        };
         open.iter().filter(is_older).count() * 2 > open.len()
     }
 
-    /// Returns how many nodes of a failure domain follow the store before one in this place.
-    pub(crate) fn watchers_ahead_of(&self, place: Priority, domain: &DomainName) -> usize {
+    /// Returns the number of nodes in a failure domain that take precedence over one of the given
+    /// priority as watchers of the store.
+    pub(crate) fn watchers_ahead_of(&self, priority: Priority, domain: &DomainName) -> usize {
         let links = self.links.borrow();
-        let before = links
+        let ahead = links
             .values()
-            .filter(|link| link.member.domain == *domain && link.priority() < place);
-        before.filter(|link| link.can_watch()).count()
+            .filter(|link| link.member.domain == *domain && link.priority() < priority);
+        ahead.filter(|link| link.can_watch()).count()
     }
 
-    /// Returns the link to the node that keeps the tokens of a failure domain, if it is heard from.
+    /// Returns the link to the quota allocator of a failure domain, if it is responsive.
     pub(crate) fn allocator_of(&self, domain: &DomainName) -> Option<Rc<Link>> {
         let links = self.links.borrow();
-        let near = links.values().filter(|link| link.member.domain == *domain);
-        let allocators = near.filter(|link| link.quota_term() > 0 && link.is_open());
+        let members = links.values().filter(|link| link.member.domain == *domain);
+        let allocators = members.filter(|link| link.quota_term() > 0 && link.is_open());
         let allocator = allocators.max_by_key(|link| link.quota_term());
         allocator.filter(|link| !link.is_silent()).cloned()
     }
 
-    /// Returns a link to a node that keeps the tokens of some failure domain, drawn at random.
+    /// Returns a link to a responsive quota allocator of any failure domain, chosen at random.
     pub(crate) fn any_allocator(&self) -> Option<Rc<Link>> {
         let links = self.links.borrow();
         let allocators = links.values().filter(|link| link.quota_term() > 0);
-        let heard = allocators.filter(|link| link.is_open() && !link.is_silent());
-        heard.cloned().choose(&mut rand::rng())
+        let responsive = allocators.filter(|link| link.is_open() && !link.is_silent());
+        responsive.cloned().choose(&mut rand::rng())
     }
 
-    /// Returns how many failure domains the known nodes stand in.
+    /// Returns the number of failure domains of the known nodes, not counting `own`.
     pub(crate) fn other_domain_count(&self, own: &DomainName) -> usize {
         let links = self.links.borrow();
         let domains = links.values().map(|link| &link.member.domain);
@@ -179,34 +182,34 @@
         others.len()
     }
 
-    /// Returns true if a node is known to run in another life than this.
-    pub(crate) fn has_other_incarnation(&self, name: &NodeName, life: Incarnation) -> bool {
+    /// Returns true if a node is connected and runs as another incarnation than the given one.
+    pub(crate) fn has_other_incarnation(&self, name: &NodeName, incarnation: Incarnation) -> bool {
         let links = self.links.borrow();
         let link = links.get(name).filter(|link| link.is_open());
-        link.is_some_and(|link| link.incarnation() != life)
+        link.is_some_and(|link| link.incarnation() != incarnation)
     }
 
-    /// Asks other nodes to remember that an upstream leaves; returns true once enough do.
+    /// Replicates the retirement of an upstream to peers; returns true once enough have recorded it.
     pub(crate) async fn replicate_retirement(&self, upstream: &UpstreamKey) -> bool {
         let links: Vec<Rc<Link>> = self.links.borrow().values().cloned().collect();
-        let wanted = WITNESSES.min(links.len()).max(1);
-        let asked = links.iter().map(|link| link.replicate_retirement(upstream));
-        let asked: FuturesUnordered<_> = asked.collect();
-        let remembered = asked.filter(|remembered| std::future::ready(*remembered));
-        remembered.take(wanted).count().await == wanted
+        let wanted = RETIREMENT_REPLICAS.min(links.len()).max(1);
+        let requests = links.iter().map(|link| link.replicate_retirement(upstream));
+        let requests: FuturesUnordered<_> = requests.collect();
+        let recorded = requests.filter(|recorded| std::future::ready(*recorded));
+        recorded.take(wanted).count().await == wanted
     }
 
-    /// Returns the nodes that could not be reached for at least `time`.
+    /// Returns the nodes that have been unreachable for at least `time`.
     pub(crate) fn unreachable_for(&self, time: Duration) -> Vec<NodeName> {
         let now = Instant::now();
         let links = self.links.borrow();
-        let lost = links
+        let unreachable = links
             .iter()
             .filter(|(_, link)| link.unreachable_for(now) >= time);
-        lost.map(|(name, _)| name.clone()).collect()
+        unreachable.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Asks every node for a sign of life.
+    /// Sends a ping to every node.
     pub(crate) fn ping_all(&self) {
         for link in self.links.borrow().values() {
             link.ping();
@@ -217,12 +220,10 @@
         if let Some(link) = self.links.borrow_mut().remove(name) {
             link.close();
             let mut by_service = self.by_service.borrow_mut();
-            if let Some(placed) = by_service.get_mut(&link.member.service) {
-                let placed = Rc::make_mut(placed);
-                placed
-                    .same_domain
-                    .retain(|other| other.member.name != *name);
-                placed
+            if let Some(group) = by_service.get_mut(&link.member.service) {
+                let group = Rc::make_mut(group);
+                group.same_domain.retain(|other| other.member.name != *name);
+                group
                     .other_domains
                     .retain(|other| other.member.name != *name);
             }
@@ -233,14 +234,14 @@
 impl Observer for Peers {
     fn joined(&self, member: &Rc<Member>) {
         self.drop_link(&member.name);
-        let link = Link::new(Rc::clone(member), self.source, Rc::clone(&self.news));
+        let link = Link::new(Rc::clone(member), self.source, Rc::clone(&self.delegate));
         let mut by_service = self.by_service.borrow_mut();
-        let placed = by_service.entry(member.service.clone()).or_default();
-        let placed = Rc::make_mut(placed);
+        let group = by_service.entry(member.service.clone()).or_default();
+        let group = Rc::make_mut(group);
         let (links, levels) = if member.domain == self.domain {
-            (&mut placed.same_domain, &placed.same_domain_levels)
+            (&mut group.same_domain, &group.same_domain_levels)
         } else {
-            (&mut placed.other_domains, &placed.other_domain_levels)
+            (&mut group.other_domains, &group.other_domain_levels)
         };
         link.load.replace(PeerLoad::with_levels(levels));
         links.push(Rc::clone(&link));
@@ -250,12 +251,12 @@
     }
 
     fn should_forget(&self, member: &Member) -> bool {
-        let lost = self
+        let unreachable = self
             .get(&member.name)
-            .is_none_or(|link| link.unreachable_for(Instant::now()) > LOST_TIME);
-        if lost {
+            .is_none_or(|link| link.unreachable_for(Instant::now()) > FORGET_DELAY);
+        if unreachable {
             self.drop_link(&member.name);
         }
-        lost
+        unreachable
     }
 }
--- a/crates/mesh/src/peer/reassembly.rs
+++ b/crates/mesh/src/peer/reassembly.rs
@@ -1,11 +1,11 @@
-//! Puts bodies together that come in several messages.
+//! Reassembles bodies that arrive in several messages.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest body that is put together.
-const LONGEST: u64 = 64 * 1024 * 1024;
+/// Maximum size of a reassembled body.
+const MAX_BODY: u64 = 64 * 1024 * 1024;
 
-/// A message whose body is not whole yet.
+/// A message whose body is incomplete.
 pub(super) struct Reassembly<M> {
     pub(super) message: M,
     body: BytesMut,
@@ -13,9 +13,9 @@
 }
 
 impl<M> Reassembly<M> {
-    /// Starts with the first part of a body; returns nothing if it is too long.
+    /// Starts with the first part of a body of `length` bytes; returns `None` if it is too long.
     pub(super) fn new(message: M, first: &Bytes, length: u64) -> Option<Self> {
-        if length > LONGEST || first.len() as u64 > length {
+        if length > MAX_BODY || first.len() as u64 > length {
             return None;
         }
         let length = usize::try_from(length).ok()?;
@@ -28,18 +28,18 @@
         })
     }
 
-    /// Adds a part; returns false if there is more than was announced.
+    /// Appends a part; returns false if the body exceeds the announced length.
     pub(super) fn add(&mut self, part: &Bytes) -> bool {
         self.body.extend_from_slice(part);
         self.body.len() <= self.length
     }
 
-    /// Returns true once nothing is missing.
-    pub(super) fn is_whole(&self) -> bool {
+    /// Returns true if the body has the announced length.
+    pub(super) fn is_complete(&self) -> bool {
         self.body.len() == self.length
     }
 
-    /// Returns the message and its whole body.
+    /// Returns the message and its complete body.
     pub(super) fn finish(self) -> (M, Bytes) {
         (self.message, self.body.freeze())
     }
--- a/crates/mesh/src/peer/source.rs
+++ b/crates/mesh/src/peer/source.rs
@@ -1,4 +1,4 @@
-//! A long body that comes over a link.
+//! A body that is streamed over a link.
 
 use std::rc::Weak;
 
@@ -11,7 +11,7 @@
 use crate::body::{Source, Truncated};
 use crate::peer::link::Link;
 
-/// A body that another node sends as it is asked for.
+/// A response body that a peer streams in chunks, as flow control grants them.
 pub(super) struct LinkSource {
     link: Weak<Link>,
     exchange: u64,
