--- a/crates/mesh/src/gossip.rs
+++ b/crates/mesh/src/gossip.rs
@@ -65,8 +65,8 @@
         let version = ConfigVersion(presence.config_version);
         let now = clock::now();
         self.freshness.observe_version(version);
-        let is_of_era = self.clock.observe_era(Era(presence.store_era), now);
-        if presence.config_as_of_ms > 0 && is_of_era {
+        let is_current_era = self.clock.observe_era(Era(presence.store_era), now);
+        if presence.config_as_of_ms > 0 && is_current_era {
             let as_of = StoreTime::from_millis(presence.config_as_of_ms);
             let in_force = self.current.version();
             self.freshness.confirm(version, as_of, in_force, now);
@@ -87,9 +87,9 @@
         self.freshness.is_bounded() && self.clock.is_stale(clock::now())
     }
 
-    fn handle_store_time(&self, era: Era, at: Moment, at_most: StoreTime) {
+    fn handle_store_time(&self, era: Era, at: Moment, bound: StoreTime) {
         if self.clock.observe_era(era, clock::now()) {
-            self.clock.record_peer_bound(at, at_most);
+            self.clock.record_peer_bound(at, bound);
         }
     }
 
@@ -97,9 +97,9 @@
         self.quarantine.merge(evidence);
     }
 
-    fn handle_crash(&self, upstream: &UpstreamKey, ran: &[Execution]) {
+    fn handle_crash(&self, upstream: &UpstreamKey, executions: &[Execution]) {
         if !self.retired.contains(upstream) {
-            self.quarantine.record_remote_crash(upstream, ran);
+            self.quarantine.record_remote_crash(upstream, executions);
         }
     }
 }
--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -177,9 +177,9 @@
     }
 
     fn pong(&self) -> Pong {
-        let at_most = self.clock.published_bound(clock::now());
+        let bound = self.clock.published_bound(clock::now());
         Pong {
-            store_at_most_ms: at_most.map_or(0, StoreTime::millis),
+            store_at_most_ms: bound.map_or(0, StoreTime::millis),
             store_era: self.clock.era().0,
         }
     }
@@ -279,7 +279,8 @@
         };
         self.retired.note(upstream);
         let exchange = retire.exchange;
-        // Without an acknowledgement the peer does not count this node as holding a copy.
+        // Without an acknowledgement the peer does not count this node among the replicas of the
+        // retirement.
         let _ = outgoing
             .clone()
             .try_send(Body::Retired(RetiredMessage { exchange }));
--- a/crates/mesh/src/peer/link/liveness.rs
+++ b/crates/mesh/src/peer/link/liveness.rs
@@ -54,10 +54,10 @@
         self.pending_pings
             .set(self.pending_pings.get().saturating_sub(1));
         if pong.store_at_most_ms > 0 {
-            let at_most = StoreTime::from_millis(pong.store_at_most_ms);
+            let bound = StoreTime::from_millis(pong.store_at_most_ms);
             let era = Era(pong.store_era);
             self.delegate
-                .handle_store_time(era, self.first_ping.get(), at_most);
+                .handle_store_time(era, self.first_ping.get(), bound);
         }
     }
 
--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -108,7 +108,7 @@
     let test = async move {
         let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
         let listener = TcpListener::bind((local, 0)).expect("a port is free");
-        let address = listener.local_addr().expect("it has one");
+        let address = listener.local_addr().expect("a local address");
         let member = member(address);
         let own = member.to_wire(Incarnation(1), State::Serving, 8);
         let greeting = own.clone();
@@ -173,7 +173,7 @@
         let test = async move {
             let local = IpAddr::V4(Ipv4Addr::LOCALHOST);
             let listener = TcpListener::bind((local, 0)).expect("a port is free");
-            let member = member(listener.local_addr().expect("it has one"));
+            let member = member(listener.local_addr().expect("a local address"));
             let own = member.to_wire(Incarnation(1), State::Serving, 8);
             let greeting = own.clone();
             task::spawn("node", async move {
--- a/crates/mesh/src/peer/mod.rs
+++ b/crates/mesh/src/peer/mod.rs
@@ -51,7 +51,7 @@
     fn wants_store_time(&self) -> bool;
 
     /// Handles an upper bound of the store's clock at the local time `at`, in an era of the store.
-    fn handle_store_time(&self, era: Era, at: Moment, at_most: StoreTime);
+    fn handle_store_time(&self, era: Era, at: Moment, bound: StoreTime);
 
     /// Handles the crash records of a peer.
     fn handle_evidence(&self, evidence: &Evidence);
--- a/crates/mesh/src/store/feed.rs
+++ b/crates/mesh/src/store/feed.rs
@@ -24,8 +24,8 @@
 
 /// How often a waiting follower checks whether it should read changes or the era has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time without reading changes after which the whole table is read again. Rows of nodes that are
-/// gone for good are removed after 5 min, so a full resync finds many of them removed.
+/// Time without reading changes after which the whole table is read again, to find rows that were
+/// removed meanwhile. Rows of dead nodes are removed after 5 min.
 const RESYNC_INTERVAL: Duration = Duration::from_mins(10);
 
 /// How long to wait after a read, so that the next one returns several changes together.
