--- a/crates/mesh/src/peer/link/tests.rs
+++ b/crates/mesh/src/peer/link/tests.rs
@@ -159,7 +159,7 @@
     check_after(Duration::from_millis(3500), true, |link, is_lost| {
         assert!(
             link.is_serving(),
-            "a node that answers pings takes requests"
+            "a node that answers pings gets no new requests"
         );
         assert!(!is_lost);
     });
@@ -190,11 +190,14 @@
             clock::suspend(time);
             assert!(
                 !link.is_serving(),
-                "the node counts as responsive after {time:?}"
+                "the node counts as responsive after a suspension of {time:?}"
             );
             link.ping();
             sleep(Duration::from_millis(100)).await;
-            assert!(link.is_serving(), "the node answered the ping");
+            assert!(
+                link.is_serving(),
+                "the node counts as unresponsive after a pong"
+            );
             link.close();
         };
         runtime::run(test).expect("a runtime");
