--- a/crates/mesh/src/entry/admission.rs
+++ b/crates/mesh/src/entry/admission.rs
@@ -1,4 +1,5 @@
-//! Lets requests in by their key, the limit of their workspace and the state of the node.
+//! Admission checks at the entry: the client's key, the quota of its workspace and the state of the
+//! node.
 
 use std::time::Duration;
 
@@ -12,38 +13,41 @@
 use crate::request::Response;
 use crate::retry_after;
 
-/// When a client of a node that is about to end may come back; it finds another node at once.
-const CLOSED_RETURN: Duration = Duration::from_millis(100);
+/// Retry-After for clients of a node that is about to stop; a retry reaches another node at once.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Why a request is not let in.
+/// Why a request is not admitted.
 pub(super) enum Denial {
-    /// Nobody is known to ask.
-    Key(CredentialError),
-    /// It may come back.
-    NotNow(Box<Response>),
+    /// The request cannot be attributed to a workspace.
+    Credential(CredentialError),
+    /// The request may be retried later.
+    Retry(Box<Response>),
 }
 
 impl Entry {
-    /// Lets a request in by its key.
-    pub(super) fn check_key(&self, incoming: &Incoming) -> Result<(), Denial> {
-        let has_key = match &incoming.caller {
-            Ok(caller) => caller.has_key(),
+    /// Checks the client's key, and that the configuration is recent enough to trust it.
+    pub(super) fn check_credential(&self, incoming: &Incoming) -> Result<(), Denial> {
+        let has_credential = match &incoming.caller {
+            Ok(caller) => caller.has_credential(),
             Err(refusal) => *refusal == CredentialError::Unknown,
         };
-        // A key that is not known may be new.
-        if has_key && !self.freshness.is_fresh(clock::now()) {
+        // An unknown key may belong to a configuration that has not arrived yet.
+        if has_credential && !self.freshness.is_fresh(clock::now()) {
             let after = retry_after::outage();
-            let returned = Response::refused(Reason::KeysOutdated).with_retry_after(after);
-            return Err(Denial::NotNow(Box::new(returned)));
+            let response = Response::refused(Reason::KeysOutdated).with_retry_after(after);
+            return Err(Denial::Retry(Box::new(response)));
         }
         match incoming.caller {
             Ok(_) => Ok(()),
-            Err(refusal) => Err(Denial::Key(refusal)),
+            Err(refusal) => Err(Denial::Credential(refusal)),
         }
     }
 
-    /// Takes a token for a request if its workspace has a limit.
-    pub(super) async fn take_token(&self, incoming: &Incoming) -> Result<Option<Token>, Response> {
+    /// Acquires a quota token if the workspace of the request has a limit.
+    pub(super) async fn acquire_token(
+        &self,
+        incoming: &Incoming,
+    ) -> Result<Option<Token>, Response> {
         let workspace = incoming.workspace();
         let Some(limited) = workspace.filter(|workspace| workspace.limit.is_some()) else {
             return Ok(None);
@@ -56,9 +60,10 @@
         Err(Response::refused(reason).with_retry_after(after))
     }
 
-    /// Refuses a request of a client that comes too late to be finished before the node ends.
-    pub(super) fn refuse_late(&self, incoming: &Incoming) -> Option<Response> {
-        let is_late = self.is_closed.get() && incoming.parent.is_none();
-        is_late.then(|| Response::refused(Reason::Draining).with_retry_after(CLOSED_RETURN))
+    /// Refuses a client request that arrives too late to complete before the node stops.
+    pub(super) fn refuse_if_closed(&self, incoming: &Incoming) -> Option<Response> {
+        let is_refused = self.is_closed.get() && incoming.parent.is_none();
+        is_refused
+            .then(|| Response::refused(Reason::Draining).with_retry_after(STOPPING_RETRY_AFTER))
     }
 }
--- a/crates/mesh/src/entry/caller.rs
+++ b/crates/mesh/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! On whose behalf a request comes in.
+//! Identifies the caller of a request.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::contexts::Context;
 use crate::dialect::FieldNames;
 
-/// Why a request is let in on behalf of nobody.
+/// Why a request cannot be attributed to a workspace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum CredentialError {
     /// there is no key
@@ -20,20 +20,20 @@
     Unknown,
 }
 
-/// Who asks.
+/// The caller of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Caller {
-    /// Whoever it is: the route is for all, or there are no workspaces.
-    Anybody,
-    /// A client with a key of this workspace.
+    /// Any caller: the route is public, or no workspaces are configured.
+    Anonymous,
+    /// A client that presented a key of this workspace.
     Client(Rc<Workspace>),
-    /// The own upstream, for a request of this workspace that runs there.
-    Run(Rc<Workspace>),
+    /// The own upstream, on behalf of a request of this workspace that it is running.
+    Upstream(Rc<Workspace>),
 }
 
 impl Caller {
-    /// Returns who asks, or why nobody is known to.
-    pub(super) fn of(
+    /// Identifies the caller, or returns why it cannot be attributed to a workspace.
+    pub(super) fn identify(
         head: &RequestHead,
         fields: &FieldNames,
         configuration: &Configuration,
@@ -41,10 +41,10 @@
         parent: Option<&Context>,
     ) -> Result<Self, CredentialError> {
         let Some(workspaces) = &configuration.workspaces else {
-            return Ok(Self::Anybody);
+            return Ok(Self::Anonymous);
         };
         if route.is_public {
-            return Ok(Self::Anybody);
+            return Ok(Self::Anonymous);
         }
         let mut keys = head.fields.all(fields.credential);
         let (first, second) = (keys.next(), keys.next());
@@ -56,26 +56,26 @@
                     .ok_or(CredentialError::Unknown)
             }
             (Some(_), Some(_)) => Err(CredentialError::Duplicate),
-            // Upstreams have no keys.
+            // Upstreams have no keys; their calls belong to the workspace of the parent request.
             (None, _) => {
                 let workspace = parent.and_then(|parent| parent.workspace.as_ref());
                 let workspace = workspace.and_then(|name| workspaces.named(name));
-                let run = workspace.map(|workspace| Self::Run(Rc::clone(workspace)));
-                run.ok_or(CredentialError::Missing)
+                let upstream = workspace.map(|workspace| Self::Upstream(Rc::clone(workspace)));
+                upstream.ok_or(CredentialError::Missing)
             }
         }
     }
 
-    /// Returns the workspace that is asked for, and has its quota.
+    /// Returns the workspace of the request, whose quota it uses.
     pub(super) fn workspace(&self) -> Option<&Rc<Workspace>> {
         match self {
-            Self::Anybody => None,
-            Self::Client(workspace) | Self::Run(workspace) => Some(workspace),
+            Self::Anonymous => None,
+            Self::Client(workspace) | Self::Upstream(workspace) => Some(workspace),
         }
     }
 
-    /// Returns true if it has shown a key, which may have been taken away.
-    pub(super) fn has_key(&self) -> bool {
+    /// Returns true if the caller presented a key, which may have been revoked since.
+    pub(super) fn has_credential(&self) -> bool {
         matches!(self, Self::Client(_))
     }
 }
--- a/crates/mesh/src/entry/connection.rs
+++ b/crates/mesh/src/entry/connection.rs
@@ -10,23 +10,23 @@
 use sailtrack_net::transparent::Reader;
 
 use crate::entry::Entry;
-use crate::entry::answering::Answering;
 use crate::entry::pipeline::Pipeline;
-use crate::entry::reading::Reading;
+use crate::entry::receiver::Receiver;
+use crate::entry::sender::Sender;
 
-/// How long what a refused client still sends is read, so that it can read the refusal.
-const LINGER_TIME: Duration = Duration::from_millis(500);
+/// How long input is drained after a refusal, so that the client can read the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How a connection goes on.
+/// What happens to the connection after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Next {
-    /// It waits for another request.
-    Request,
-    /// It ends at once.
+pub(super) enum Disposition {
+    /// It stays open for another request.
+    KeepAlive,
+    /// It closes immediately.
+    Abort,
+    /// It closes after its last response has been sent.
     Close,
-    /// It ends with its last answer.
-    Last,
-    /// It does so while its client may still be sending.
+    /// It closes after draining input that the client may still be sending.
     Linger,
 }
 
@@ -37,7 +37,7 @@
     writer: OwnedWriteHalf<TcpStream>,
 }
 
-/// Serves a connection until it ends.
+/// Serves a connection until it closes.
 pub(super) async fn serve(entry: Rc<Entry>, stream: TcpStream) {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -49,17 +49,18 @@
         writer,
     };
     while connection.wait_for_bytes().await {
-        // Boxed, so that a connection without a request does not hold the memory for one.
-        if Box::pin(connection.answer_all()).await != Next::Request {
+        // Boxed, so that an idle connection does not hold the memory needed to serve a request.
+        if Box::pin(connection.serve_pipeline()).await != Disposition::KeepAlive {
             return;
         }
     }
 }
 
 impl Connection {
-    /// Waits for the first bytes of a request; returns false once the connection is over.
+    /// Waits for the first bytes of a request; returns false if the connection closed or was idle
+    /// for too long.
     ///
-    /// The bound is looked up again at its end, since it may have been raised meanwhile.
+    /// The timeout is read again when it expires, since a reload may have raised it.
     async fn wait_for_bytes(&mut self) -> bool {
         let began = Instant::now();
         while self.reader.buffered() == 0 {
@@ -77,36 +78,36 @@
         true
     }
 
-    /// Reads and answers requests until none is left.
-    async fn answer_all(&mut self) -> Next {
+    /// Serves pipelined requests until none is pending.
+    async fn serve_pipeline(&mut self) -> Disposition {
         let pipeline = Pipeline::new(&self.entry);
-        let next = {
-            let reading = Reading::new(&self.entry, &mut self.reader, &pipeline).run();
-            let answering = Answering::new(&self.entry, &mut self.writer, &pipeline).run();
-            let (reading, answering) = (std::pin::pin!(reading), std::pin::pin!(answering));
-            pipeline.drive(answering, reading).await
+        let disposition = {
+            let receiving = Receiver::new(&self.entry, &mut self.reader, &pipeline).run();
+            let sending = Sender::new(&self.entry, &mut self.writer, &pipeline).run();
+            let (receiving, sending) = (std::pin::pin!(receiving), std::pin::pin!(sending));
+            pipeline.drive(sending, receiving).await
         };
         let was_pipelined = pipeline.was_pipelined();
         drop(pipeline);
         let may_reset = was_pipelined || self.reader.buffered() > 0;
-        if next == Next::Linger || (next == Next::Last && may_reset) {
+        if disposition == Disposition::Linger || (disposition == Disposition::Close && may_reset) {
             self.linger().await;
         }
-        next
+        disposition
     }
 
-    /// Ends the answers and reads what still comes: closing with unread bytes would reset the
-    /// connection, and the client could not read its answer.
+    /// Shuts down writing and drains input: closing a socket with unread input resets the
+    /// connection, and the client may lose the response.
     async fn linger(&mut self) {
         let _held = Held::new(&self.entry.in_flight);
         let draining = async {
-            // The client may have closed it.
+            // The client may already have closed the connection.
             let _ = self.writer.shutdown().await;
             while matches!(self.reader.fill().await, Ok(count) if count > 0) {
                 self.reader.discard();
             }
         };
-        // The client may keep its side open for longer.
-        let _ = timeout(LINGER_TIME, draining).await;
+        // The client may keep its side open longer than the timeout.
+        let _ = timeout(LINGER_TIMEOUT, draining).await;
     }
 }
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! Brings one request to its answer.
+//! Runs one request and produces its reply.
 
 #[cfg(test)]
 mod tests;
@@ -15,149 +15,152 @@
 use crate::dispatch::Trail;
 use crate::entry::CredentialError;
 use crate::entry::Entry;
-use crate::entry::answer::Refusal;
 use crate::entry::memory::Guard;
-use crate::entry::pipeline::{Place, Reservation, Weight};
-use crate::entry::request::{Incoming, Received};
+use crate::entry::pipeline::{Charge, Permit, Reservation};
+use crate::entry::request::{Incoming, Payload};
+use crate::entry::response::Refusal;
 use crate::request::Response;
 
-/// A timer that fires so late shows that the node stood still.
-const STOOD_STILL: Duration = Duration::from_millis(20);
+/// A timer that fires this late shows that the process was stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(20);
 
-/// What is written when its turn comes.
-pub(super) enum Answer {
-    /// What came of a request.
-    Of(Box<Ended>),
-    /// A request is refused for its key, and the connection ends.
-    NoKey(Box<Incoming>, CredentialError),
-    /// What was sent is refused, and the connection ends.
-    Last(Refusal, Option<Duration>),
-    /// The client may send the body of its request.
-    GoOn,
+/// What is written to the client when the request's turn in the pipeline comes.
+pub(super) enum Reply {
+    /// The response to a request.
+    Completed(Box<Completion>),
+    /// The request's key was refused; the connection closes.
+    Unauthorized(Box<Incoming>, CredentialError),
+    /// The input was refused; the connection closes.
+    Rejected(Refusal, Option<Duration>),
+    /// An interim `100 Continue` response.
+    Continue,
 }
 
-/// A request that has come to its end.
-pub(super) struct Ended {
+/// A completed request with its response.
+pub(super) struct Completion {
     pub(super) incoming: Incoming,
-    pub(super) returned: Response,
+    pub(super) response: Response,
     pub(super) trail: Trail,
     pub(super) reservation: Reservation,
-    pub(super) weight: Weight,
-    /// The connection ends after it.
+    pub(super) charge: Charge,
+    /// The connection closes after the response.
     pub(super) closes: bool,
 }
 
-/// A request that was let in, with its body.
-pub(super) struct Admitted {
+/// An admitted request's body and the resources reserved for it.
+pub(super) struct Admission {
     pub(super) reservation: Reservation,
-    pub(super) received: Received,
+    pub(super) payload: Payload,
     pub(super) memory: Guard,
 }
 
-/// Returns the end of a request that is not let in.
-pub(super) fn turned_away(
+/// Returns the reply for a request that is not admitted.
+pub(super) fn reject(
     incoming: Incoming,
-    returned: Response,
-    place: Place,
+    response: Response,
+    permit: Permit,
     closes: bool,
-) -> Answer {
-    Answer::Of(Box::new(Ended {
+) -> Reply {
+    Reply::Completed(Box::new(Completion {
         incoming,
-        returned,
+        response,
         trail: Trail::default(),
-        reservation: place.keep(None),
-        weight: place.weigh(0),
+        reservation: permit.reserve(None),
+        charge: permit.charge(0),
         closes,
     }))
 }
 
-/// Lets a request without a body in, and brings it to its end.
-pub(super) async fn let_in(entry: Rc<Entry>, incoming: Incoming, place: Place) -> Answer {
+/// Admits a request without a body and runs it.
+pub(super) async fn admit_and_run(entry: Rc<Entry>, incoming: Incoming, permit: Permit) -> Reply {
     let trail = Trail::default();
-    let (returned, reservation) = match entry.take_token(&incoming).await {
+    let (response, reservation) = match entry.acquire_token(&incoming).await {
         Ok(token) => {
-            let reservation = place.keep(token);
-            let received = Received {
+            let reservation = permit.reserve(token);
+            let payload = Payload {
                 body: Bytes::new(),
                 identity: incoming.hasher(&entry.service).finish(),
             };
-            let returned = run(&entry, &incoming, received, &trail).await;
-            (returned, reservation)
+            let response = run(&entry, &incoming, payload, &trail).await;
+            (response, reservation)
         }
-        Err(returned) => (returned, place.keep(None)),
+        Err(response) => (response, permit.reserve(None)),
     };
-    end(incoming, returned, trail, reservation, place)
+    complete(incoming, response, trail, reservation, permit)
 }
 
-/// Brings a request that was let in to its end.
-pub(super) async fn bring(
+/// Runs an admitted request.
+pub(super) async fn run_admitted(
     entry: Rc<Entry>,
     incoming: Incoming,
-    admitted: Admitted,
-    place: Place,
-) -> Answer {
+    admission: Admission,
+    permit: Permit,
+) -> Reply {
     let trail = Trail::default();
-    let returned = run(&entry, &incoming, admitted.received, &trail).await;
-    drop(admitted.memory);
-    end(incoming, returned, trail, admitted.reservation, place)
+    let response = run(&entry, &incoming, admission.payload, &trail).await;
+    drop(admission.memory);
+    complete(incoming, response, trail, admission.reservation, permit)
 }
 
-fn end(
+fn complete(
     incoming: Incoming,
-    returned: Response,
+    response: Response,
     trail: Trail,
     mut reservation: Reservation,
-    place: Place,
-) -> Answer {
-    if returned.outcome == Outcome::NotRun {
-        reservation.give_back();
+    permit: Permit,
+) -> Reply {
+    if response.outcome == Outcome::NotRun {
+        reservation.refund();
     }
-    let body = returned.body.whole().map_or(0, Bytes::len);
-    Answer::Of(Box::new(Ended {
-        weight: place.weigh(returned.head.len() + body),
+    let body = response.body.whole().map_or(0, Bytes::len);
+    Reply::Completed(Box::new(Completion {
+        charge: permit.charge(response.head.len() + body),
         incoming,
-        returned,
+        response,
         trail,
         reservation,
         closes: false,
     }))
 }
 
-/// Returns what came of a request whose time is over.
+/// Returns the result of a request whose deadline has passed.
 ///
-/// Where the node itself stood still, answers may have come meanwhile, or nothing was sent; both
-/// are better for the caller than not to know.
-async fn look_once_more(deadline: Moment, dispatch: impl Future<Output = Response>) -> Response {
-    if clock::now().since(deadline) < STOOD_STILL {
+/// If the process was stalled, the response may have arrived meanwhile, or nothing may have been
+/// sent; both are better for the caller than an unknown outcome.
+async fn poll_after_deadline(
+    deadline: Moment,
+    dispatch: impl Future<Output = Response>,
+) -> Response {
+    if clock::now().since(deadline) < STALL_THRESHOLD {
         return Response::unknown(Reason::Deadline);
     }
-    let returned = timeout(LAST_LOOK, dispatch).await;
-    returned.unwrap_or_else(|_| Response::unknown(Reason::Deadline))
+    let response = timeout(LAST_LOOK, dispatch).await;
+    response.unwrap_or_else(|_| Response::unknown(Reason::Deadline))
 }
 
-/// Brings a request to an upstream and back; dropping the future cancels it.
-async fn run(entry: &Entry, incoming: &Incoming, received: Received, trail: &Trail) -> Response {
-    trail.identify(received.identity);
+/// Dispatches a request to an upstream; dropping the future cancels it.
+async fn run(entry: &Entry, incoming: &Incoming, payload: Payload, trail: &Trail) -> Response {
+    trail.identify(payload.identity);
     let Some(service) = entry.splitter.next(&incoming.route) else {
         return Response::refused(Reason::NoUpstream);
     };
     let fields = entry.dialect.fields();
-    let work = incoming.work(fields, &entry.service, service, received);
-    if work.time_left().is_zero() {
-        // It waited for those ahead of it.
+    let request = incoming.forwarded(fields, &entry.service, service, payload);
+    if request.time_left().is_zero() {
+        // The deadline passed while the request waited for earlier ones.
         return Response::refused(Reason::Deadline);
     }
-    if let Some(returned) = entry.refuse_late(incoming) {
-        return returned;
+    if let Some(response) = entry.refuse_if_closed(incoming) {
+        return response;
     }
-    // Boxed, since each future around it would keep room for it once more.
-    let mut dispatch = Box::pin(entry.dispatcher.dispatch(work, &incoming.route, trail));
-    let returned = match clock::until(incoming.deadline, &mut dispatch).await {
-        Ok(returned) => returned,
-        Err(Late) => look_once_more(incoming.deadline, dispatch).await,
+    // Boxed, since every enclosing future would otherwise reserve space for it again.
+    let mut dispatch = Box::pin(entry.dispatcher.dispatch(request, &incoming.route, trail));
+    let response = match clock::until(incoming.deadline, &mut dispatch).await {
+        Ok(response) => response,
+        Err(Late) => poll_after_deadline(incoming.deadline, dispatch).await,
     };
     if let Some(parent) = &incoming.parent {
-        parent.note(&returned);
+        parent.note(&response);
     }
-    returned
+    response
 }
--- a/crates/mesh/src/entry/exchange/tests.rs
+++ b/crates/mesh/src/entry/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! What a caller hears whose time is over.
+//! Outcomes reported when the deadline of a request passes.
 
 use std::time::Duration;
 
@@ -6,27 +6,27 @@
 use sailtrack_net::runtime;
 use sailtrack_wire::{Outcome, Reason};
 
-use super::{STOOD_STILL, look_once_more};
+use super::{STALL_THRESHOLD, poll_after_deadline};
 use crate::clock;
 use crate::request::Response;
 
-/// Returns what is told of a request that turns out not to have run a moment after its time was
-/// over, if its timer fires this much too late.
+/// Returns the outcome reported for a request that turns out not to have run 1 ms after its
+/// deadline, if the deadline timer fires late by `late`.
 fn told(late: Duration) -> Outcome {
     let deadline = clock::now().before(late);
     let dispatch = async {
         sleep(Duration::from_millis(1)).await;
         Response::refused(Reason::Deadline)
     };
-    let returned = runtime::run(look_once_more(deadline, dispatch));
-    returned.expect("a runtime").outcome
+    let response = runtime::run(poll_after_deadline(deadline, dispatch));
+    response.expect("a runtime").outcome
 }
 
-/// The node stood still past the end and has not looked yet at what came meanwhile; told at once,
-/// its callers would have to take what never ran for something that may have run.
+/// A stalled process has not yet read a response that arrived meanwhile. Replying at once would
+/// report a request that never ran as one that may have run.
 #[test]
 fn stood_still() {
-    assert_eq!(told(STOOD_STILL), Outcome::NotRun);
+    assert_eq!(told(STALL_THRESHOLD), Outcome::NotRun);
 }
 
 #[test]
--- a/crates/mesh/src/entry/memory.rs
+++ b/crates/mesh/src/entry/memory.rs
@@ -1,55 +1,55 @@
-//! How much memory the bodies of requests may take up together.
+//! A limit on the total memory used for request bodies.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use sailtrack_net::transparent::Framing;
 
-/// A body without a stated length is reckoned with this much, or with the limit if that is less.
-const UNSTATED: usize = 256 * 1024;
+/// Bytes reserved for a body of unknown length, or the body limit if that is smaller.
+const UNKNOWN_LENGTH_BYTES: usize = 256 * 1024;
 
-/// How much memory the bodies of requests may take up together.
+/// A memory budget shared by all request bodies.
 #[derive(Debug)]
 pub(crate) struct Memory {
-    bytes: Cell<usize>,
-    taken: Rc<Cell<usize>>,
+    capacity: Cell<usize>,
+    reserved: Rc<Cell<usize>>,
 }
 
-/// The memory of one body, given back when it is dropped.
+/// Memory reserved for one body; released on drop.
 #[derive(Debug)]
 pub(crate) struct Guard {
-    taken: Rc<Cell<usize>>,
+    reserved: Rc<Cell<usize>>,
     bytes: usize,
 }
 
 impl Memory {
-    pub(crate) fn new(bytes: usize) -> Self {
+    pub(crate) fn new(capacity: usize) -> Self {
         Self {
-            bytes: Cell::new(bytes),
-            taken: Rc::default(),
+            capacity: Cell::new(capacity),
+            reserved: Rc::default(),
         }
     }
 
-    /// Changes how much there is; what is taken stays taken.
-    pub(crate) fn resize(&self, bytes: usize) {
-        self.bytes.set(bytes);
+    /// Changes the capacity; existing reservations stay.
+    pub(crate) fn resize(&self, capacity: usize) {
+        self.capacity.set(capacity);
     }
 
-    /// Takes memory for a body, or returns nothing if there is not enough.
-    pub(crate) fn take(&self, framing: Framing, limit: usize) -> Option<Guard> {
+    /// Reserves memory for a body, or returns `None` if not enough is left.
+    pub(crate) fn reserve(&self, framing: Framing, limit: usize) -> Option<Guard> {
         let bytes = match framing {
             Framing::None => 0,
             Framing::Length(length) => usize::try_from(length).unwrap_or(usize::MAX).min(limit),
-            Framing::Chunked | Framing::UntilClose => UNSTATED.min(limit),
+            Framing::Chunked | Framing::UntilClose => UNKNOWN_LENGTH_BYTES.min(limit),
         };
-        let taken = self.taken.get().checked_add(bytes)?;
-        // Without a body no memory is needed.
-        if bytes > 0 && taken > self.bytes.get() {
+        let reserved = self.reserved.get().checked_add(bytes)?;
+        // A request without a body is accepted even when the budget is exceeded.
+        if bytes > 0 && reserved > self.capacity.get() {
             return None;
         }
-        self.taken.set(taken);
+        self.reserved.set(reserved);
         Some(Guard {
-            taken: Rc::clone(&self.taken),
+            reserved: Rc::clone(&self.reserved),
             bytes,
         })
     }
@@ -57,6 +57,6 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.taken.set(self.taken.get() - self.bytes);
+        self.reserved.set(self.reserved.get() - self.bytes);
     }
 }
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -1,15 +1,15 @@
-//! Where the clients on this instance and the own upstream bring their requests.
+//! The entry port: accepts requests of local clients and of the node's own upstream.
 
 mod admission;
-mod answer;
-mod answering;
 mod caller;
 mod connection;
 mod exchange;
 mod memory;
 mod pipeline;
-mod reading;
+mod receiver;
 mod request;
+mod response;
+mod sender;
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -31,28 +31,29 @@
 pub(crate) use caller::CredentialError;
 pub(crate) use memory::Memory;
 
-/// The most client connections open at once: each has a descriptor, of which an instance has some
-/// thousand, and up to some 20 KiB of memory.
-const MOST_CONNECTIONS: usize = 1500;
-/// From this many on the answer to a request that was refused ends its connection: its client
-/// comes back on a new one, and the old one would stand unused until the node takes no more.
-const CROWDED: usize = MOST_CONNECTIONS / 2;
-/// From this many on every answer does.
-const FULL: usize = MOST_CONNECTIONS * 3 / 4;
+/// Each connection costs a file descriptor, of which an instance has a few thousand, and up to
+/// about 20 KiB of memory.
+const MAX_CONNECTIONS: usize = 1500;
+/// From this number of open connections on, a refused request closes its connection: its client
+/// reconnects when it retries, and the old connection would stay idle until no new one can be
+/// accepted.
+const CLOSE_REFUSED_FROM: usize = MAX_CONNECTIONS / 2;
+/// From this number of open connections on, every response closes its connection.
+const CLOSE_ALL_FROM: usize = MAX_CONNECTIONS * 3 / 4;
 
-/// The bounds while there is no configuration.
-const FIRST_LIMITS: ClientLimits = ClientLimits {
+/// Limits in force before the first configuration arrives.
+const INITIAL_LIMITS: ClientLimits = ClientLimits {
     head_bytes: 16 * 1024,
     body_bytes: 1024 * 1024,
     head_time: Duration::from_secs(3),
     idle_time: Duration::from_secs(15),
 };
 
-/// Where requests come in.
+/// Accepts requests of clients and of the own upstream and dispatches them.
 pub(crate) struct Entry {
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) phase: Rc<Cell<Phase>>,
-    /// The service beside which requests begin here.
+    /// The service of this node's own upstream.
     pub(crate) service: ServiceName,
     pub(crate) current: Rc<Current>,
     pub(crate) splitter: Rc<Splitter>,
@@ -64,13 +65,15 @@
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) in_flight: Rc<Cell<usize>>,
     pub(crate) memory: Memory,
-    /// The bytes of finished answers, most of which wait for those ahead of them,
+    /// Bytes of completed responses held in memory, most of which wait for earlier responses on
+    /// their connection.
     pub(crate) pending_response_bytes: Rc<Cell<usize>>,
-    /// and from how many on no connection begins a request behind another.
+    /// No connection starts another pipelined request while `pending_response_bytes` is at this
+    /// limit.
     pub(crate) max_pending_response_bytes: Cell<usize>,
-    /// Set once the rest of a planned stop is needed for what is in flight.
+    /// Set during a planned stop, once the remaining time is needed for in-flight requests.
     pub(crate) is_closed: Cell<bool>,
-    /// The connections of clients that are open.
+    /// The number of open client connections.
     pub(crate) connections: Rc<Cell<usize>>,
 }
 
@@ -79,17 +82,17 @@
 }
 
 impl Entry {
-    /// Refuses new requests of clients from now on; calls of the own upstream are still taken.
+    /// Refuses new client requests from now on; calls of the own upstream are still accepted.
     pub(crate) fn close(&self) {
         self.is_closed.set(true);
     }
 
-    /// Accepts connections for as long as the task lives.
+    /// Accepts connections until the task is cancelled.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let bounds = Bounds {
             port: "entry",
             task: "client connection",
-            connections: MOST_CONNECTIONS,
+            connections: MAX_CONNECTIONS,
         };
         let serve = |stream| connection::serve(Rc::clone(&self), stream);
         let open = Rc::clone(&self.connections);
@@ -98,17 +101,17 @@
 
     fn limits(&self) -> ClientLimits {
         let configuration = self.current.get();
-        configuration.map_or(FIRST_LIMITS, |configuration| configuration.limits)
+        configuration.map_or(INITIAL_LIMITS, |configuration| configuration.limits)
     }
 
-    /// Returns true if connections are to end with their next answers.
-    fn is_ending(&self) -> bool {
-        self.phase.get() > Phase::Serving || self.wants_room(false)
+    /// Returns true if connections close with their next response.
+    fn is_closing(&self) -> bool {
+        self.phase.get() > Phase::Serving || self.is_crowded(false)
     }
 
-    /// Returns true if a connection is to end with its answer, to make room for others.
-    fn wants_room(&self, was_refused: bool) -> bool {
+    /// Returns true if a connection closes with this response to free its slot for others.
+    fn is_crowded(&self, was_refused: bool) -> bool {
         let open = self.connections.get();
-        open >= FULL || (was_refused && open >= CROWDED)
+        open >= CLOSE_ALL_FROM || (was_refused && open >= CLOSE_REFUSED_FROM)
     }
 }
--- a/crates/mesh/src/entry/pipeline.rs
+++ b/crates/mesh/src/entry/pipeline.rs
@@ -1,8 +1,8 @@
-//! The requests of a connection that have been begun, in their order.
+//! The pipelined requests of a connection, in order.
 //!
-//! Reading, the work on each request and answering are polled in turn by the task of the
-//! connection, for as long as one of them changes the pipeline. So whoever waits for it needs no
-//! waker of its own.
+//! The task of the connection polls reading, the requests and writing in turn until none of them
+//! changes the pipeline any more. So futures that wait for a change of the pipeline need no waker
+//! of their own.
 
 #[cfg(test)]
 mod tests;
@@ -18,97 +18,98 @@
 use sailtrack_net::task::Held;
 
 use crate::entry::Entry;
-use crate::entry::connection::Next;
-use crate::entry::exchange::Answer;
+use crate::entry::connection::Disposition;
+use crate::entry::exchange::Reply;
 use crate::quota::Token;
 
-/// The most requests of one connection that are worked on or wait for their turn to be answered.
-const MOST_BEGUN: usize = 16;
-/// With this many bytes of finished answers on a connection no further request of it is begun. The
-/// answers to those begun before come on top, each of which holds 128 KiB at the most.
-const MOST_READY_BYTES: usize = 256 * 1024;
+/// The most requests of one connection that are in flight or wait for earlier responses.
+const MAX_PIPELINED: usize = 16;
+/// No further request is started while this many bytes of completed responses wait on a connection.
+/// The responses to requests already started come on top, each at most 128 KiB.
+const MAX_PENDING_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// A request that has been begun.
+/// A pipelined request, or its reply once it has completed.
 enum Slot {
-    Working(LocalBoxFuture<'static, Answer>),
-    Ended(Answer),
+    Pending(LocalBoxFuture<'static, Reply>),
+    Ready(Reply),
 }
 
-/// The requests of a connection that have been begun and not been answered.
+/// The requests of a connection that have been started and not been answered.
 pub(super) struct Pipeline {
     entry: Rc<Entry>,
-    /// Those whose answers have not been begun. All are polled whenever the task is woken: they are
-    /// few, and a waker for each costs more where a connection has one request at a time.
+    /// The requests whose replies have not been taken yet. All of them are polled on every wake-up:
+    /// they are few, and a waker for each costs more than it saves on a connection with one request
+    /// at a time.
     slots: RefCell<VecDeque<Slot>>,
-    /// The bytes of finished answers.
-    ready: Rc<Cell<usize>>,
-    /// All of them, with the one whose answer is written.
+    /// Bytes of completed responses on this connection.
+    pending_response_bytes: Rc<Cell<usize>>,
+    /// The length of `slots`, plus one while a response is being written.
     count: Cell<usize>,
-    /// One of them must be the only one.
+    /// The newest request must be the only one in the pipeline.
     is_exclusive: Cell<bool>,
     has_changed: Cell<bool>,
     was_pipelined: Cell<bool>,
     closed: Rc<Cell<bool>>,
 }
 
-/// What decides whether a connection begins one more request.
+/// The state that decides whether a connection may start another request.
 #[derive(Debug, Clone, Copy, Default)]
 struct State {
-    /// The requests that have been begun and not been answered.
+    /// Requests that have been started and not been answered.
     count: usize,
-    /// One of them must not run twice.
+    /// One of them is not idempotent.
     is_exclusive: bool,
-    end: End,
-    /// The bytes of finished answers on this connection.
+    lifecycle: Lifecycle,
+    /// Bytes of completed responses on this connection.
     pending_response_bytes: usize,
-    /// Those on all connections are too many.
+    /// The limit for completed responses on all connections is reached.
     is_node_full: bool,
 }
 
-/// Whether the connection goes on.
+/// Whether the connection still accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-enum End {
+enum Lifecycle {
     #[default]
     Open,
-    /// It is to end with its last answer.
-    Soon,
-    /// The answer that is written ends it.
-    Now,
+    /// It closes after the requests in the pipeline.
+    Draining,
+    /// It closes with the response being written.
+    Closed,
 }
 
 impl State {
-    /// Returns true if one more request may be begun.
+    /// Returns true if another request may be started.
     ///
-    /// One that must not run twice begins when everything before it has been answered, and nothing
-    /// begins behind it. Where the connection is to end nothing more is begun, so that the last
-    /// answer can say so.
-    fn has_place(self, is_idempotent: bool) -> bool {
+    /// A request that is not idempotent starts only when all earlier ones have been answered, and
+    /// none starts behind it. A draining connection starts none while the pipeline is not empty, so
+    /// that its last response can say `Connection: close`.
+    fn can_start(self, is_idempotent: bool) -> bool {
         if self.count == 0 {
-            return self.end != End::Now;
+            return self.lifecycle != Lifecycle::Closed;
         }
-        let is_open = self.end == End::Open;
-        let has_room = self.count < MOST_BEGUN
-            && self.pending_response_bytes < MOST_READY_BYTES
+        let is_open = self.lifecycle == Lifecycle::Open;
+        let has_room = self.count < MAX_PIPELINED
+            && self.pending_response_bytes < MAX_PENDING_RESPONSE_BYTES
             && !self.is_node_full;
         is_open && has_room && is_idempotent && !self.is_exclusive
     }
 }
 
-/// What a request holds from its beginning until it has been answered.
-pub(super) struct Place {
+/// Held by a request from its start until it has been answered.
+pub(super) struct Permit {
     held: Held,
     closed: Rc<Cell<bool>>,
-    ready: [Rc<Cell<usize>>; 2],
+    pending_response_bytes: [Rc<Cell<usize>>; 2],
 }
 
-/// The bytes of an answer that waits for its turn.
-pub(super) struct Weight {
+/// Counts the bytes of a completed response until it has been written.
+pub(super) struct Charge {
     counts: [Rc<Cell<usize>>; 2],
     bytes: usize,
     _held: Held,
 }
 
-/// The token of a request; it goes back if the request counts as not read.
+/// The quota token of a request; refunded if the connection closed before the request was answered.
 pub(super) struct Reservation {
     token: Option<Token>,
     closed: Rc<Cell<bool>>,
@@ -119,7 +120,7 @@
         Self {
             entry: Rc::clone(entry),
             slots: RefCell::default(),
-            ready: Rc::default(),
+            pending_response_bytes: Rc::default(),
             count: Cell::new(0),
             is_exclusive: Cell::new(false),
             has_changed: Cell::new(false),
@@ -128,47 +129,47 @@
         }
     }
 
-    /// Returns how many requests have been begun and not been answered.
+    /// Returns how many requests have been started and not been answered.
     pub(super) fn len(&self) -> usize {
         self.count.get()
     }
 
-    /// Returns true if one more request may be begun.
-    pub(super) fn has_place(&self, is_idempotent: bool) -> bool {
+    /// Returns true if another request may be started.
+    pub(super) fn can_start(&self, is_idempotent: bool) -> bool {
         let entry = &self.entry;
-        let end = if self.is_closed() {
-            End::Now
-        } else if self.len() > 0 && entry.is_ending() {
-            End::Soon
+        let lifecycle = if self.is_closed() {
+            Lifecycle::Closed
+        } else if self.len() > 0 && entry.is_closing() {
+            Lifecycle::Draining
         } else {
-            End::Open
+            Lifecycle::Open
         };
         let state = State {
             count: self.len(),
             is_exclusive: self.is_exclusive.get(),
-            end,
-            pending_response_bytes: self.ready.get(),
+            lifecycle,
+            pending_response_bytes: self.pending_response_bytes.get(),
             is_node_full: entry.pending_response_bytes.get()
                 >= entry.max_pending_response_bytes.get(),
         };
-        state.has_place(is_idempotent)
+        state.can_start(is_idempotent)
     }
 
-    /// Returns what a request needs that is begun now.
-    pub(super) fn place(&self, held: Held) -> Place {
-        Place {
+    /// Returns the permit for a request that starts now.
+    pub(super) fn permit(&self, held: Held) -> Permit {
+        Permit {
             held,
             closed: Rc::clone(&self.closed),
-            ready: [
-                Rc::clone(&self.ready),
+            pending_response_bytes: [
+                Rc::clone(&self.pending_response_bytes),
                 Rc::clone(&self.entry.pending_response_bytes),
             ],
         }
     }
 
-    /// Adds what will be answered after everything that is there.
-    pub(super) fn push(&self, answer: impl Future<Output = Answer> + 'static, exclusive: bool) {
-        let slot = Slot::Working(Box::pin(answer));
+    /// Appends a request; its reply is written after all earlier ones.
+    pub(super) fn push(&self, reply: impl Future<Output = Reply> + 'static, exclusive: bool) {
+        let slot = Slot::Pending(Box::pin(reply));
         self.slots.borrow_mut().push_back(slot);
         self.count.set(self.len() + 1);
         if self.len() > 1 {
@@ -178,12 +179,12 @@
         self.has_changed.set(true);
     }
 
-    /// Returns the next answer once it is there.
-    pub(super) async fn next(&self) -> Answer {
+    /// Returns the next reply in order once its request has completed.
+    pub(super) async fn next(&self) -> Reply {
         poll_fn(|_| {
             let mut slots = self.slots.borrow_mut();
             match slots.pop_front() {
-                Some(Slot::Ended(answer)) => Poll::Ready(answer),
+                Some(Slot::Ready(reply)) => Poll::Ready(reply),
                 Some(working) => {
                     slots.push_front(working);
                     Poll::Pending
@@ -194,13 +195,13 @@
         .await
     }
 
-    /// Notes that the answer that came last has been written.
-    pub(super) fn note_answered(&self) {
+    /// Records that the response to the oldest request has been written.
+    pub(super) fn record_answered(&self) {
         self.count.set(self.len() - 1);
         self.has_changed.set(true);
     }
 
-    /// What is behind the answer that is written now counts as not read.
+    /// Marks the connection as closing: requests behind the current response count as not read.
     pub(super) fn close(&self) {
         self.closed.set(true);
     }
@@ -209,13 +210,13 @@
         self.closed.get()
     }
 
-    /// Returns true if a request was begun before the one ahead of it had been answered.
+    /// Returns true if a request was started before the previous one had been answered.
     pub(super) fn was_pipelined(&self) -> bool {
         self.was_pipelined.get()
     }
 
     /// Waits until `condition` holds.
-    pub(super) async fn until(&self, condition: impl Fn(&Self) -> bool) {
+    pub(super) async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         poll_fn(|_| {
             if condition(self) {
                 Poll::Ready(())
@@ -226,21 +227,21 @@
         .await;
     }
 
-    /// Works on the requests while `answering` and `reading` go on, until one of these ends.
+    /// Polls the requests, `sending` and `receiving` until one of the latter two ends.
     pub(super) async fn drive(
         &self,
-        mut answering: Pin<&mut impl Future<Output = Next>>,
-        mut reading: Pin<&mut impl Future<Output = Next>>,
-    ) -> Next {
+        mut sending: Pin<&mut impl Future<Output = Disposition>>,
+        mut receiving: Pin<&mut impl Future<Output = Disposition>>,
+    ) -> Disposition {
         poll_fn(|context| {
             loop {
                 self.has_changed.set(false);
-                self.work(context);
-                if let Poll::Ready(next) = answering.as_mut().poll(context) {
-                    return Poll::Ready(next);
+                self.poll_slots(context);
+                if let Poll::Ready(disposition) = sending.as_mut().poll(context) {
+                    return Poll::Ready(disposition);
                 }
-                if let Poll::Ready(next) = reading.as_mut().poll(context) {
-                    return Poll::Ready(next);
+                if let Poll::Ready(disposition) = receiving.as_mut().poll(context) {
+                    return Poll::Ready(disposition);
                 }
                 if !self.has_changed.get() {
                     return Poll::Pending;
@@ -250,40 +251,40 @@
         .await
     }
 
-    fn work(&self, context: &mut Context<'_>) {
+    fn poll_slots(&self, context: &mut Context<'_>) {
         for slot in self.slots.borrow_mut().iter_mut() {
-            if let Slot::Working(work) = slot
-                && let Poll::Ready(answer) = work.as_mut().poll(context)
+            if let Slot::Pending(work) = slot
+                && let Poll::Ready(reply) = work.as_mut().poll(context)
             {
-                *slot = Slot::Ended(answer);
+                *slot = Slot::Ready(reply);
             }
         }
     }
 }
 
-impl Place {
+impl Permit {
     /// Returns a guard for the token of the request.
-    pub(super) fn keep(&self, token: Option<Token>) -> Reservation {
+    pub(super) fn reserve(&self, token: Option<Token>) -> Reservation {
         Reservation {
             token,
             closed: Rc::clone(&self.closed),
         }
     }
 
-    /// Counts the bytes of the answer from now on.
-    pub(super) fn weigh(self, bytes: usize) -> Weight {
-        for count in &self.ready {
+    /// Starts counting the bytes of the response.
+    pub(super) fn charge(self, bytes: usize) -> Charge {
+        for count in &self.pending_response_bytes {
             count.set(count.get() + bytes);
         }
-        Weight {
-            counts: self.ready,
+        Charge {
+            counts: self.pending_response_bytes,
             bytes,
             _held: self.held,
         }
     }
 }
 
-impl Drop for Weight {
+impl Drop for Charge {
     fn drop(&mut self) {
         for count in &self.counts {
             count.set(count.get() - self.bytes);
@@ -292,15 +293,15 @@
 }
 
 impl Reservation {
-    /// Gives the token back, since its request did not run and never will.
-    pub(super) fn give_back(&mut self) {
+    /// Refunds the token, since its request did not run and never will.
+    pub(super) fn refund(&mut self) {
         if let Some(token) = self.token.take() {
-            token.give_back();
+            token.refund();
         }
     }
 
-    /// The request has run.
-    pub(super) fn spend(&mut self) {
+    /// Keeps the token, since the request has completed.
+    pub(super) fn consume(&mut self) {
         self.token = None;
     }
 }
@@ -308,7 +309,7 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         if self.closed.get() {
-            self.give_back();
+            self.refund();
         }
     }
 }
--- a/crates/mesh/src/entry/pipeline/tests.rs
+++ b/crates/mesh/src/entry/pipeline/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-/// A pipeline in which reads run.
+/// A pipeline with two idempotent requests.
 const READS: State = State {
     count: 2,
     is_exclusive: false,
-    end: End::Open,
+    lifecycle: Lifecycle::Open,
     pending_response_bytes: 0,
     is_node_full: false,
 };
@@ -12,50 +12,50 @@
 #[test]
 fn empty_line() {
     let empty = State::default();
-    assert!(empty.has_place(true) && empty.has_place(false));
+    assert!(empty.can_start(true) && empty.can_start(false));
     let full = State {
         is_node_full: true,
-        end: End::Soon,
+        lifecycle: Lifecycle::Draining,
         ..empty
     };
     assert!(
-        full.has_place(true) && full.has_place(false),
+        full.can_start(true) && full.can_start(false),
         "one at a time"
     );
     let closed = State {
-        end: End::Now,
+        lifecycle: Lifecycle::Closed,
         ..empty
     };
-    assert!(!closed.has_place(true) && !closed.has_place(false));
+    assert!(!closed.can_start(true) && !closed.can_start(false));
 }
 
 #[test]
 fn behind_others() {
-    assert!(READS.has_place(true));
-    assert!(!READS.has_place(false), "it may run once");
+    assert!(READS.can_start(true));
+    assert!(!READS.can_start(false), "it may run once");
     let exclusive = State {
         count: 1,
         is_exclusive: true,
         ..READS
     };
-    assert!(!exclusive.has_place(true));
+    assert!(!exclusive.can_start(true));
 }
 
 #[test]
 fn bounds() {
     let last = State {
-        count: MOST_BEGUN - 1,
-        pending_response_bytes: MOST_READY_BYTES - 1,
+        count: MAX_PIPELINED - 1,
+        pending_response_bytes: MAX_PENDING_RESPONSE_BYTES - 1,
         ..READS
     };
-    assert!(last.has_place(true));
+    assert!(last.can_start(true));
     let beyond = [
         State {
-            count: MOST_BEGUN,
+            count: MAX_PIPELINED,
             ..READS
         },
         State {
-            pending_response_bytes: MOST_READY_BYTES,
+            pending_response_bytes: MAX_PENDING_RESPONSE_BYTES,
             ..READS
         },
         State {
@@ -63,15 +63,15 @@
             ..READS
         },
         State {
-            end: End::Soon,
+            lifecycle: Lifecycle::Draining,
             ..READS
         },
         State {
-            end: End::Now,
+            lifecycle: Lifecycle::Closed,
             ..READS
         },
     ];
     for state in beyond {
-        assert!(!state.has_place(true), "{state:?}");
+        assert!(!state.can_start(true), "{state:?}");
     }
 }
--- /dev/null
+++ b/crates/mesh/src/entry/receiver.rs
@@ -0,0 +1,296 @@
+//! Reads the requests of a connection and starts them.
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use futures::future::{Either, ready, select};
+use monoio::time::timeout;
+use sailtrack_net::task::Held;
+use sailtrack_net::transparent::{BodyError, Framing, HeadError, MessageError, Reader};
+use sailtrack_wire::Reason;
+
+use crate::clock;
+use crate::configuration::ClientLimits;
+use crate::entry::Entry;
+use crate::entry::admission::Denial;
+use crate::entry::connection::Disposition;
+use crate::entry::exchange::{Admission, Reply, admit_and_run, reject, run_admitted};
+use crate::entry::pipeline::{Permit, Pipeline};
+use crate::entry::request::{Incoming, Payload};
+use crate::entry::response::Refusal;
+use crate::request::Response;
+
+/// The most bytes buffered from the client while earlier requests are in flight.
+const MAX_READ_AHEAD: usize = 64 * 1024;
+/// Retry-After of a node that has no configuration yet.
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Retry-After when there is no memory for the body of a request.
+const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// The result of waiting for input.
+enum Input {
+    Bytes,
+    /// No input arrived, and no request is pending.
+    Idle,
+    Closed,
+}
+
+/// Why no further request is read.
+enum Stop {
+    /// The client closed the connection.
+    Disconnected,
+    /// The request asked for the connection to be closed after it.
+    CloseRequested,
+    /// The input was refused with this reply.
+    Refused(Reply),
+}
+
+impl Stop {
+    fn refused(refusal: Refusal) -> Self {
+        Self::Refused(Reply::Rejected(refusal, None))
+    }
+}
+
+/// Reads the requests of a connection.
+pub(super) struct Receiver<'a> {
+    entry: &'a Rc<Entry>,
+    reader: &'a mut Reader,
+    pipeline: &'a Pipeline,
+}
+
+impl<'a> Receiver<'a> {
+    pub(super) fn new(
+        entry: &'a Rc<Entry>,
+        reader: &'a mut Reader,
+        pipeline: &'a Pipeline,
+    ) -> Self {
+        Self {
+            entry,
+            reader,
+            pipeline,
+        }
+    }
+
+    /// Reads and starts requests until none is pending or the client disconnects.
+    pub(super) async fn run(mut self) -> Disposition {
+        loop {
+            match self.wait_for_bytes().await {
+                Input::Bytes => {}
+                Input::Idle => return Disposition::KeepAlive,
+                Input::Closed => return Disposition::Abort,
+            }
+            let Err(stop) = self.start_next().await else {
+                continue;
+            };
+            if let Stop::Refused(reply) = stop {
+                self.pipeline.push(ready(reply), true);
+                // With no request ahead of it, the refusal is sent even to a client that has closed
+                // its sending side.
+                if self.wait_until(|pipeline| pipeline.len() <= 1).await {
+                    std::future::pending::<()>().await;
+                }
+            } else if matches!(stop, Stop::CloseRequested) {
+                wait_for_disconnect(self.reader).await;
+            }
+            return Disposition::Abort;
+        }
+    }
+
+    async fn wait_for_bytes(&mut self) -> Input {
+        while self.reader.buffered() == 0 {
+            let idle = std::pin::pin!(self.pipeline.wait_until(|pipeline| pipeline.len() == 0));
+            let fill = std::pin::pin!(self.reader.fill());
+            match select(fill, idle).await {
+                Either::Left((Ok(count), _)) if count > 0 => {}
+                Either::Left(_) => return Input::Closed,
+                Either::Right(_) => return Input::Idle,
+            }
+        }
+        Input::Bytes
+    }
+
+    /// Waits until `condition` holds; returns false if the client disconnects first.
+    async fn wait_until(&mut self, condition: impl Fn(&Pipeline) -> bool) -> bool {
+        let holds = std::pin::pin!(self.pipeline.wait_until(condition));
+        let leaving = std::pin::pin!(wait_for_disconnect(self.reader));
+        matches!(select(holds, leaving).await, Either::Left(_))
+    }
+
+    /// Reads one request and starts it once the pipeline allows.
+    async fn start_next(&mut self) -> Result<(), Stop> {
+        let held = Held::new(&self.entry.in_flight);
+        let limits = self.entry.limits();
+        let bytes = self.read_head(limits).await?;
+        let received_at = self.reader.last_came().unwrap_or_else(Instant::now);
+        let mut incoming = self.parse(&bytes, received_at)?;
+        let is_idempotent = incoming.route.is_idempotent();
+        if !self.pipeline.can_start(is_idempotent) {
+            if !self
+                .wait_until(|pipeline| pipeline.can_start(is_idempotent))
+                .await
+            {
+                return Err(Stop::Disconnected);
+            }
+            // The client's key may have been revoked in the meantime.
+            incoming = self.parse(&bytes, received_at)?;
+        }
+        let permit = self.pipeline.permit(held);
+        let has_body = incoming.framing != Framing::None;
+        let keeps_alive = incoming.head.keeps_alive();
+        let entry = Rc::clone(self.entry);
+        match self.entry.check_credential(&incoming) {
+            Err(Denial::Credential(refusal)) => {
+                let reply = Reply::Unauthorized(Box::new(incoming), refusal);
+                return Err(Stop::Refused(reply));
+            }
+            Err(Denial::Retry(response)) => self.reject_for_now(incoming, *response, permit)?,
+            Ok(()) if has_body => {
+                let (incoming, admission, permit) =
+                    self.admit_with_body(incoming, permit, limits).await?;
+                self.start(
+                    run_admitted(entry, incoming, admission, permit),
+                    is_idempotent,
+                );
+            }
+            Ok(()) => self.start(admit_and_run(entry, incoming, permit), is_idempotent),
+        }
+        if keeps_alive {
+            Ok(())
+        } else {
+            Err(Stop::CloseRequested)
+        }
+    }
+
+    /// Rejects a request that may be retried. Its body is not read, so a request with a body closes
+    /// the connection.
+    fn reject_for_now(
+        &self,
+        incoming: Incoming,
+        response: Response,
+        permit: Permit,
+    ) -> Result<(), Stop> {
+        let has_body = incoming.framing != Framing::None;
+        let reply = reject(incoming, response, permit, has_body);
+        if has_body {
+            return Err(Stop::Refused(reply));
+        }
+        self.pipeline.push(ready(reply), false);
+        Ok(())
+    }
+
+    fn start(&self, exchange: impl Future<Output = Reply> + 'static, is_idempotent: bool) {
+        self.pipeline.push(exchange, !is_idempotent);
+        let depth = self.pipeline.len();
+        if depth > 1 {
+            self.entry.metrics.note_pipelined(depth);
+        }
+    }
+
+    /// Reads a request head within the limits for its size and time.
+    async fn read_head(&mut self, limits: ClientLimits) -> Result<Bytes, Stop> {
+        let head = self.reader.request_head(limits.head_bytes);
+        match timeout(limits.head_time, head).await {
+            Ok(Ok(head)) => Ok(head),
+            Ok(Err(MessageError::Head(HeadError::TooLarge))) => {
+                Err(Stop::refused(Refusal::HeadTooLarge))
+            }
+            Ok(Err(MessageError::Head(_))) => Err(Stop::refused(Refusal::Malformed)),
+            Ok(Err(_)) => Err(Stop::Disconnected),
+            Err(_) => Err(Stop::refused(Refusal::Timeout)),
+        }
+    }
+
+    /// Parses a request head by the configuration in force.
+    fn parse(&self, head: &Bytes, received_at: Instant) -> Result<Incoming, Stop> {
+        let Some(configuration) = self.entry.current.get() else {
+            let reply = Reply::Rejected(Refusal::NotRun, Some(UNCONFIGURED_RETRY_AFTER));
+            return Err(Stop::Refused(reply));
+        };
+        let fields = self.entry.dialect.fields();
+        Incoming::read(
+            head,
+            fields,
+            &configuration,
+            &self.entry.contexts,
+            received_at,
+        )
+        .map_err(Stop::refused)
+    }
+
+    /// Admits a request with a body and reads the body.
+    async fn admit_with_body(
+        &mut self,
+        incoming: Incoming,
+        permit: Permit,
+        limits: ClientLimits,
+    ) -> Result<(Incoming, Admission, Permit), Stop> {
+        if let Some(response) = self.entry.refuse_if_closed(&incoming) {
+            let reply = reject(incoming, response, permit, true);
+            return Err(Stop::Refused(reply));
+        }
+        let token = match self.entry.acquire_token(&incoming).await {
+            Ok(token) => token,
+            Err(response) => {
+                let reply = reject(incoming, response, permit, true);
+                return Err(Stop::Refused(reply));
+            }
+        };
+        let mut reservation = permit.reserve(token);
+        let memory = self
+            .entry
+            .memory
+            .reserve(incoming.framing, limits.body_bytes);
+        let Some(memory) = memory else {
+            reservation.refund();
+            let response = Response::refused(Reason::Overload).with_retry_after(MEMORY_RETRY_AFTER);
+            let reply = reject(incoming, response, permit, true);
+            return Err(Stop::Refused(reply));
+        };
+        match self.read_body(&incoming, limits.body_bytes).await {
+            Ok(payload) => {
+                let admission = Admission {
+                    reservation,
+                    payload,
+                    memory,
+                };
+                Ok((incoming, admission, permit))
+            }
+            Err(stop) => {
+                // The request will not run.
+                reservation.refund();
+                Err(stop)
+            }
+        }
+    }
+
+    async fn read_body(&mut self, incoming: &Incoming, limit: usize) -> Result<Payload, Stop> {
+        if incoming.expects_continue() && self.reader.buffered() == 0 {
+            let is_exclusive = !incoming.route.is_idempotent();
+            self.pipeline.push(ready(Reply::Continue), is_exclusive);
+        }
+        let mut hasher = incoming.hasher(&self.entry.service);
+        let on_piece = |piece: &[u8]| hasher.update(piece);
+        let body = self.reader.body_seen(incoming.framing, limit, on_piece);
+        match clock::until(incoming.deadline, body).await {
+            Ok(Ok(body)) => Ok(Payload {
+                body,
+                identity: hasher.finish(),
+            }),
+            Ok(Err(BodyError::TooLarge)) => Err(Stop::refused(Refusal::BodyTooLarge)),
+            Ok(Err(BodyError::Malformed)) => Err(Stop::refused(Refusal::Malformed)),
+            Ok(Err(BodyError::Cut | BodyError::Io(_))) => Err(Stop::Disconnected),
+            Err(_) => Err(Stop::refused(Refusal::Timeout)),
+        }
+    }
+}
+
+/// Waits until the client closes its connection; input that arrives meanwhile stays buffered.
+async fn wait_for_disconnect(reader: &mut Reader) {
+    while reader.buffered() < MAX_READ_AHEAD {
+        if !matches!(reader.fill().await, Ok(count) if count > 0) {
+            return;
+        }
+    }
+    std::future::pending::<()>().await;
+}
--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! Reads what a request asks for out of its head.
+//! Parses a request head and finds its route.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,8 +12,8 @@
 use crate::configuration::{Configuration, Route, Workspace};
 use crate::contexts::{Context, Contexts};
 use crate::dialect::FieldNames;
-use crate::entry::answer::Refusal;
 use crate::entry::caller::{Caller, CredentialError};
+use crate::entry::response::Refusal;
 use crate::key::AttemptKey;
 use crate::request::Request;
 
@@ -23,27 +23,27 @@
     pub(super) framing: Framing,
     pub(super) attempt: AttemptKey,
     pub(super) route: Rc<Route>,
-    /// The request that it is made for, if that runs in the own upstream.
+    /// The request that this one was made for, if it runs in the own upstream.
     pub(super) parent: Option<Rc<Context>>,
     pub(super) caller: Result<Caller, CredentialError>,
-    pub(super) came: Instant,
+    pub(super) received_at: Instant,
     pub(super) deadline: Moment,
 }
 
-/// What came after the head.
-pub(super) struct Received {
+/// The body and the identity that includes it.
+pub(super) struct Payload {
     pub(super) body: Bytes,
     pub(super) identity: Identity,
 }
 
 impl Incoming {
-    /// Reads a head, and finds the route of the request.
+    /// Parses a request head and finds the route.
     pub(super) fn read(
         bytes: &Bytes,
         fields: &FieldNames,
         configuration: &Configuration,
         contexts: &Contexts,
-        came: Instant,
+        received_at: Instant,
     ) -> Result<Self, Refusal> {
         let head = RequestHead::parse(bytes).map_err(refusal)?;
         let framing = request_framing(&head.fields).map_err(refusal)?;
@@ -51,41 +51,43 @@
         let host = host(&head).ok_or(Refusal::Malformed)?;
         let route = configuration.route(host, path).ok_or(Refusal::NoRoute)?;
         let attempt = head.fields.get(fields.attempt).ok_or(Refusal::Malformed)?;
-        let asked = head.fields.get(fields.time_left_ms);
-        let asked = asked.and_then(|millis| millis.parse().ok());
-        let time = match asked.map(Duration::from_millis) {
-            Some(asked) => asked.min(route.timeout),
+        let requested = head.fields.get(fields.time_left_ms);
+        let requested = requested.and_then(|millis| millis.parse().ok());
+        let timeout = match requested.map(Duration::from_millis) {
+            Some(requested) => requested.min(route.timeout),
             None => route.timeout,
         };
         let attempt = AttemptKey::from(attempt);
         let parent = contexts.parent(&attempt);
-        let caller = Caller::of(&head, fields, configuration, route, parent.as_deref());
+        let caller = Caller::identify(&head, fields, configuration, route, parent.as_deref());
         Ok(Self {
             attempt,
             parent,
             caller,
             route: Rc::clone(route),
-            came,
-            // Its client waits since it came, which may be long before it is read.
-            deadline: clock::now() + time.saturating_sub(came.elapsed()),
+            received_at,
+            // The client's timeout runs from the arrival of the request, which may be long before
+            // it is parsed.
+            deadline: clock::now() + timeout.saturating_sub(received_at.elapsed()),
             framing,
             head,
         })
     }
 
-    /// Starts the identity of the request; the body is still to come.
+    /// Starts hashing the identity of the request; the body is added later.
     ///
-    /// Where it comes in is no part of it: a request that ends upstreams comes again beside any
-    /// service. Its workspace is: what one user's request does, another's need not. By which key
-    /// it is asked is not, so a new key clears nothing.
-    pub(super) fn hasher(&self, beside: &ServiceName) -> Hasher {
+    /// The service at whose entry the request arrived is no part of the identity: a request that
+    /// crashes upstreams may be sent again to any service. The workspace is part of it, since the
+    /// same request may be harmless for another workspace. The client's key is not, so that a new
+    /// key does not lift a quarantine.
+    pub(super) fn hasher(&self, service: &ServiceName) -> Hasher {
         let head = &self.head;
         let host = host(head).unwrap_or_default();
         let workspace = self
             .workspace()
             .map_or("", |workspace| workspace.name.as_str());
         let caller = match workspace {
-            "" => beside.as_str(),
+            "" => service.as_str(),
             workspace => workspace,
         };
         let caller = quarantine::Caller::named(caller.as_bytes());
@@ -94,13 +96,13 @@
         Hasher::new(&parts, caller)
     }
 
-    /// Returns on whose behalf it is made.
+    /// Returns the workspace on whose behalf the request is made.
     pub(super) fn workspace(&self) -> Option<&Rc<Workspace>> {
         self.caller.as_ref().ok()?.workspace()
     }
 
-    /// Returns what decides first in which order requests are shed; a call matters as much as the
-    /// request that it is made for.
+    /// Returns the class, which decides before the rank in which order requests are shed; a nested
+    /// call inherits that of its parent request.
     fn class(&self) -> Class {
         let kind = self.route.importance;
         let workspace = self.workspace().and_then(|workspace| workspace.importance);
@@ -112,8 +114,8 @@
         parent.map_or(own, |parent| parent.call_class())
     }
 
-    /// Returns the place of the request in the order of shedding: its workspace decides before its
-    /// route, and a call matters as much as the request that it is made for.
+    /// Returns the rank, the request's place in the shedding order: the importance of the workspace
+    /// decides before that of the route, and a nested call inherits the rank of its parent request.
     fn rank(&self) -> Rank {
         let id = RequestId::from_key(self.attempt.as_str());
         let kind = self.route.importance;
@@ -127,18 +129,18 @@
             .map_or(own, |parent| parent.call_rank())
     }
 
-    /// Returns true if the client waits for a word before it sends the body.
+    /// Returns true if the client waits for `100 Continue` before it sends the body.
     pub(super) fn expects_continue(&self) -> bool {
         self.head.fields.lists("expect", "100-continue")
     }
 
-    /// Returns the request as it is passed on.
-    pub(super) fn work(
+    /// Returns the request as forwarded to an upstream.
+    pub(super) fn forwarded(
         &self,
         fields: &FieldNames,
         caller: &ServiceName,
         service: ServiceName,
-        Received { body, identity }: Received,
+        Payload { body, identity }: Payload,
     ) -> Request {
         let parent = self.parent.as_ref();
         let workspace = match self.workspace() {
@@ -159,13 +161,13 @@
             is_nested: parent.is_some(),
             is_retry: parent.is_some_and(|parent| parent.repeated),
             deadline: self.deadline,
-            head: self.passed_on(fields, caller, body.len()),
+            head: self.forwarded_head(fields, caller, body.len()),
             body,
         }
     }
 
-    /// Returns the request line with the fields that are passed on and those that are set here.
-    fn passed_on(&self, fields: &FieldNames, caller: &ServiceName, length: usize) -> Bytes {
+    /// Returns the request line and header with the fields that the node replaces.
+    fn forwarded_head(&self, fields: &FieldNames, caller: &ServiceName, length: usize) -> Bytes {
         let mut bytes = BytesMut::with_capacity(512);
         bytes.extend_from_slice(&self.head.method);
         bytes.extend_from_slice(b" ");
@@ -179,11 +181,11 @@
                 || field.is(fields.workspace)
         };
         self.head.fields.pass_on(&mut bytes, replaced);
-        let own = format!("{}: {caller}\r\n", fields.caller);
-        bytes.extend_from_slice(own.as_bytes());
+        let field = format!("{}: {caller}\r\n", fields.caller);
+        bytes.extend_from_slice(field.as_bytes());
         if let Some(workspace) = self.workspace() {
-            let behalf = format!("{}: {}\r\n", fields.workspace, workspace.name);
-            bytes.extend_from_slice(behalf.as_bytes());
+            let field = format!("{}: {}\r\n", fields.workspace, workspace.name);
+            bytes.extend_from_slice(field.as_bytes());
         }
         let states_length = self.head.fields.get("content-length").is_some();
         if length > 0 || states_length {
@@ -200,14 +202,14 @@
     }
 }
 
-/// Returns the path without its query; a target in another form has none.
+/// Returns the path without its query, or `None` if the target is not in origin form.
 fn path(head: &RequestHead) -> Option<&str> {
     let target = std::str::from_utf8(&head.target).ok()?;
     let path = target.split(['?', '#']).next()?;
     path.starts_with('/').then_some(path)
 }
 
-/// Returns the host without its port; two hosts in one request are refused.
+/// Returns the host without its port, or `None` if the request has no or more than one host.
 fn host(head: &RequestHead) -> Option<&str> {
     let mut hosts = head.fields.all("host");
     let (first, second) = (hosts.next()?, hosts.next());
--- /dev/null
+++ b/crates/mesh/src/entry/sender.rs
@@ -0,0 +1,249 @@
+//! Writes the responses of a connection, in the order of the requests.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use monoio::io::{AsyncWriteRentExt as _, OwnedWriteHalf};
+use monoio::net::TcpStream;
+use monoio::time::timeout;
+use sailtrack_log::{catalogue, emit};
+use sailtrack_net::task::Held;
+use sailtrack_wire::Outcome;
+
+use crate::body::Stream;
+use crate::clock;
+use crate::dispatch::Trail;
+use crate::entry::CredentialError;
+use crate::entry::Entry;
+use crate::entry::connection::Disposition;
+use crate::entry::exchange::{Completion, Reply};
+use crate::entry::pipeline::Pipeline;
+use crate::entry::request::Incoming;
+use crate::entry::response::{Options, Output, Refusal, render, render_refusal};
+use crate::events::End;
+use crate::request::Response;
+
+/// How long a write to the client may take.
+const WRITE_TIME: Duration = Duration::from_secs(30);
+
+/// Writes the responses of a connection.
+pub(super) struct Sender<'a> {
+    entry: &'a Rc<Entry>,
+    writer: &'a mut OwnedWriteHalf<TcpStream>,
+    pipeline: &'a Pipeline,
+}
+
+impl<'a> Sender<'a> {
+    pub(super) fn new(
+        entry: &'a Rc<Entry>,
+        writer: &'a mut OwnedWriteHalf<TcpStream>,
+        pipeline: &'a Pipeline,
+    ) -> Self {
+        Self {
+            entry,
+            writer,
+            pipeline,
+        }
+    }
+
+    /// Writes responses until one of them closes the connection.
+    pub(super) async fn run(mut self) -> Disposition {
+        loop {
+            let disposition = match self.pipeline.next().await {
+                Reply::Completed(completion) => self.send_response(*completion).await,
+                Reply::Unauthorized(incoming, error) => {
+                    self.refuse_credential(&incoming, error).await
+                }
+                Reply::Rejected(refusal, retry_after) => self.refuse(refusal, retry_after).await,
+                Reply::Continue => self.send_continue().await,
+            };
+            self.pipeline.record_answered();
+            if disposition != Disposition::KeepAlive {
+                self.record_unread();
+                return disposition;
+            }
+        }
+    }
+
+    async fn send_response(&mut self, completion: Completion) -> Disposition {
+        let Completion {
+            incoming,
+            response,
+            trail,
+            mut reservation,
+            charge,
+            closes,
+        } = completion;
+        reservation.consume();
+        self.log(&incoming, &response, &trail);
+        let time = incoming.received_at.elapsed();
+        let kind = &incoming.route.name;
+        self.entry.metrics.note_answer(kind, &response, time);
+        let was_refused = response.outcome == Outcome::NotRun;
+        let was_answered = response.outcome == Outcome::Done;
+        let options = Options {
+            is_head: &incoming.head.method[..] == b"HEAD",
+            is_1_1: incoming.head.is_1_1,
+            time_left: incoming.deadline.since(clock::now()),
+            close: closes || !incoming.head.keeps_alive() || self.should_close(was_refused),
+        };
+        let output = render(response, options);
+        let mut disposition = self.write_output(output).await;
+        if disposition == Disposition::Close && closes {
+            disposition = Disposition::Linger;
+        }
+        drop(charge);
+        if was_answered
+            && disposition != Disposition::Abort
+            && let Some(identity) = trail.identity()
+        {
+            self.entry.dispatcher.quarantine.note_good_end(&identity);
+        }
+        disposition
+    }
+
+    /// Returns true if the connection should close and no request has been started behind this one.
+    fn should_close(&self, was_refused: bool) -> bool {
+        self.pipeline.len() == 1 && (self.entry.is_closing() || self.entry.is_crowded(was_refused))
+    }
+
+    /// Writes a response; the connection closes immediately if it cannot be completed.
+    async fn write_output(&mut self, output: Output) -> Disposition {
+        if output.close {
+            self.pipeline.close();
+        }
+        if !self.write(output.bytes).await {
+            return Disposition::Abort;
+        }
+        if let Some(stream) = output.stream
+            && !self.write_stream(stream, output.is_chunked).await
+        {
+            return Disposition::Abort;
+        }
+        if output.close {
+            Disposition::Close
+        } else {
+            Disposition::KeepAlive
+        }
+    }
+
+    /// Writes a streamed body; returns false if it was not completed.
+    async fn write_stream(&mut self, mut stream: Stream, is_chunked: bool) -> bool {
+        loop {
+            let Ok(piece) = stream.next().await else {
+                // The connection closes without the end of the body, so that the client sees a
+                // truncated response.
+                self.pipeline.close();
+                return false;
+            };
+            let is_last = piece.is_none();
+            let bytes = encode(piece, is_chunked);
+            if !bytes.is_empty() && !self.write(bytes).await {
+                return false;
+            }
+            if is_last {
+                return true;
+            }
+        }
+    }
+
+    async fn refuse_credential(
+        &mut self,
+        incoming: &Incoming,
+        error: CredentialError,
+    ) -> Disposition {
+        let (attempt, kind) = (&incoming.attempt, &incoming.route.name);
+        let version = self.entry.current.version();
+        let events = &self.entry.events;
+        events.note_key_refused(attempt, kind, error, version);
+        self.entry.metrics.note_key_refused();
+        self.refuse(Refusal::Unauthorized, None).await
+    }
+
+    /// Refuses the client's input and closes the connection.
+    async fn refuse(&mut self, refusal: Refusal, retry_after: Option<Duration>) -> Disposition {
+        let _held = Held::new(&self.entry.in_flight);
+        if !matches!(
+            refusal,
+            Refusal::NoRoute | Refusal::NotRun | Refusal::Unauthorized
+        ) {
+            emit(
+                &catalogue::INPUT_REFUSED,
+                &[("port", &"entry"), ("reason", &refusal)],
+            );
+        }
+        self.pipeline.close();
+        self.write(render_refusal(refusal, retry_after, true)).await;
+        Disposition::Linger
+    }
+
+    /// Records the requests started behind a response that closes the connection.
+    fn record_unread(&self) {
+        let count = self.pipeline.len();
+        if self.pipeline.is_closed() && count > 0 {
+            self.entry.metrics.note_unread(count);
+            emit(&catalogue::REQUESTS_NOT_READ, &[("count", &count)]);
+        }
+    }
+
+    async fn send_continue(&mut self) -> Disposition {
+        let interim = BytesMut::from(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]);
+        if self.write(interim).await {
+            Disposition::KeepAlive
+        } else {
+            Disposition::Abort
+        }
+    }
+
+    fn log(&self, incoming: &Incoming, response: &Response, trail: &Trail) {
+        let refusal = Refusal::of(response);
+        let end = End {
+            attempt: &incoming.attempt,
+            kind: &incoming.route.name,
+            status: refusal.map_or(response.status, Refusal::status),
+            trail,
+            reason: response.reason,
+            pressure: response.observed_pressure(),
+            failed_below: response.failed_below,
+            workspace: incoming.workspace().map(|workspace| &workspace.name),
+            version: self.entry.current.version(),
+            after: incoming.received_at.elapsed(),
+            calls: self.entry.in_flight.get(),
+        };
+        let events = &self.entry.events;
+        match refusal {
+            None if response.is_success() => {}
+            None => events.note_bad_answer(&end),
+            Some(Refusal::NotRun | Refusal::OverQuota) => events.note_refused_end(&end),
+            Some(Refusal::Quarantined) => {
+                events.note_refused_end(&end);
+                if let Some(identity) = trail.identity() {
+                    events.note_held_back(end.attempt, &identity);
+                }
+            }
+            Some(_) => events.note_failure(&end),
+        }
+    }
+
+    async fn write(&mut self, bytes: BytesMut) -> bool {
+        let written = timeout(WRITE_TIME, self.writer.write_all(bytes)).await;
+        matches!(written, Ok((Ok(_), _)))
+    }
+}
+
+/// Returns the encoded bytes of a piece of a streamed body, or of its end.
+fn encode(piece: Option<Bytes>, is_chunked: bool) -> BytesMut {
+    match (piece, is_chunked) {
+        (Some(piece), false) => BytesMut::from(piece),
+        (Some(piece), true) => {
+            let mut bytes = BytesMut::with_capacity(piece.len() + 16);
+            bytes.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
+            bytes.extend_from_slice(&piece);
+            bytes.extend_from_slice(b"\r\n");
+            bytes
+        }
+        (None, true) => BytesMut::from(&b"0\r\n\r\n"[..]),
+        (None, false) => BytesMut::new(),
+    }
+}
--- a/crates/mesh/src/quota/mod.rs
+++ b/crates/mesh/src/quota/mod.rs
@@ -306,7 +306,7 @@
     }
 
     /// Gives it back, since its request did not run and never will.
-    pub(crate) fn give_back(self) {
+    pub(crate) fn refund(self) {
         if clock::now().since(self.taken) < GIVE_BACK_TIME {
             self.quotas.cache.borrow_mut().give_back(&self.workspace);
         }
