--- a/crates/mesh/src/request.rs
+++ b/crates/mesh/src/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way to an upstream, and what became of it.
+//! A request to an upstream and its result.
 
 use std::time::Duration;
 
@@ -12,32 +12,32 @@
 use crate::clock;
 use crate::key::AttemptKey;
 
-/// A request for one upstream.
+/// A request to be sent to one upstream.
 #[derive(Debug, Clone)]
 pub(crate) struct Request {
     pub(crate) attempt: AttemptKey,
-    /// What it asks, the same for every attempt of its caller.
+    /// Identifies the content of the request; the same for every attempt of its caller.
     pub(crate) identity: Identity,
-    /// How many crashes that followed each other under it its sender knows of.
+    /// How many consecutive crashes of upstreams running this request its sender knows of.
     pub(crate) known_crashes: u8,
     pub(crate) service: ServiceName,
-    /// The route that it came by.
+    /// The name of the route that matched.
     pub(crate) kind: KindName,
     /// Whether it may run more than once.
     pub(crate) idempotent: bool,
     pub(crate) rank: Rank,
-    /// What decides before its rank.
+    /// Decides before the rank in which order requests are shed.
     pub(crate) class: Class,
-    /// On whose behalf it is made, for the calls that are made for it.
+    /// The workspace on whose behalf the request is made, inherited by its nested calls.
     pub(crate) workspace: Option<WorkspaceName>,
-    /// How many calls were answered well before it that were made for the same request.
+    /// How many earlier calls for the same parent request have succeeded.
     pub(crate) completed_calls: u32,
-    /// An upstream made it while it worked on another request.
+    /// An upstream made this call while it ran another request.
     pub(crate) is_nested: bool,
-    /// It, or the request that it is made for, was sent to another upstream before.
+    /// The request, or the request that it was made for, has been sent to another upstream before.
     pub(crate) is_retry: bool,
     pub(crate) deadline: Moment,
-    /// The request line and the fields to be passed on.
+    /// The request line and the header fields to be forwarded.
     pub(crate) head: Bytes,
     pub(crate) body: Bytes,
 }
@@ -49,29 +49,30 @@
     }
 }
 
-/// What became of a request.
+/// The result of a request.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub(crate) outcome: Outcome,
     pub(crate) reason: Reason,
-    /// The upstream's status if the outcome is done.
+    /// The status of the upstream's response if the outcome is done.
     pub(crate) status: u16,
-    /// The status line and the fields to be passed on.
+    /// The status line and the header fields to be forwarded.
     pub(crate) head: Bytes,
     pub(crate) body: Body,
-    /// Whether it was sent to the upstream, whatever came of it.
+    /// Whether the request was sent to an upstream, whatever the outcome.
     pub(crate) was_sent: bool,
-    /// How full the upstream is.
+    /// The pressure of the upstream: how full it is.
     pub(crate) pressure: Pressure,
-    /// How long work takes on the instance of the upstream, if it tells that.
+    /// The pace of the upstream's instance, if reported.
     pub(crate) pace: Option<Pace>,
-    /// The greatest pressure that the request met, at the upstream or further down.
+    /// The highest pressure on the path of the request, at the upstream or at services that it
+    /// called.
     pub(crate) path_pressure: Pressure,
-    /// Whether a call that was made for it failed, as far as is known.
+    /// Whether a nested call failed, as far as is known.
     pub(crate) failed_below: bool,
-    /// Whether a call that was made for it found no upstream of its service, as far as is known.
+    /// Whether a nested call found no upstream of its service, as far as is known.
     pub(crate) absent_below: bool,
-    /// When to come back; zero if nothing is said.
+    /// When the caller should retry; zero if not specified.
     pub(crate) retry_after: Duration,
 }
 
@@ -93,28 +94,28 @@
         }
     }
 
-    /// Returns the refusal of a request that no upstream has seen.
+    /// Returns the refusal of a request that was not sent to an upstream.
     pub(crate) fn refused(reason: Reason) -> Self {
         Self::without_answer(Outcome::NotRun, reason, false)
     }
 
-    /// Returns it with the time after which the caller may come back.
+    /// Sets the time after which the caller should retry.
     pub(crate) fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = after;
         self
     }
 
-    /// Returns the refusal of a request that the upstream itself turned away.
+    /// Returns the refusal of a request that the upstream itself did not run.
     pub(crate) fn rejected_by_upstream(reason: Reason) -> Self {
         Self::without_answer(Outcome::NotRun, reason, true)
     }
 
-    /// Returns the end of a request that may or may not have run.
+    /// Returns the result of a request that may or may not have run.
     pub(crate) fn unknown(reason: Reason) -> Self {
         Self::without_answer(Outcome::Unknown, reason, true)
     }
 
-    /// Returns the upstream's answer.
+    /// Returns the upstream's response.
     pub(crate) fn answered(status: u16, head: Bytes, body: Body) -> Self {
         Self {
             status,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Returns a copy that can be given again, unless the body is streamed.
+    /// Returns a copy, or `None` if the body is streamed.
     pub(crate) fn try_clone(&self) -> Option<Self> {
         let body = Body::Whole(self.body.whole()?.clone());
         Some(Self {
@@ -134,21 +135,22 @@
         })
     }
 
-    /// Returns true if the upstream ran the request and did not fail.
+    /// Returns true if the upstream ran the request without a server error.
     pub(crate) fn is_success(&self) -> bool {
         self.outcome == Outcome::Done && self.status < 500
     }
 
-    /// Returns true if it, or a call that was made for it, found no upstream of its service.
+    /// Returns true if the request or a nested call found no upstream of its service.
     pub(crate) fn found_no_upstream(&self) -> bool {
         let is_absent = self.outcome == Outcome::NotRun && self.reason == Reason::NoUpstream;
         is_absent || (self.absent_below && !self.is_success())
     }
 
-    /// Returns the pressure that the request met; one refused for overload met too much.
+    /// Returns the pressure on the path of the request, at least [`Pressure::REFUSING`] if it was
+    /// refused for overload.
     ///
-    /// An upstream that turns requests away tells nothing: its gate lets in no more than it has
-    /// slots for, so it does not do so for want of room.
+    /// A refusal by the upstream itself does not count as overload: the gate admits no more
+    /// requests than the upstream has slots, so it refuses for another reason.
     pub(crate) fn observed_pressure(&self) -> Pressure {
         match self.reason {
             Reason::Overload => self.path_pressure.greater(Pressure::REFUSING),
--- a/crates/mesh/src/retry_after.rs
+++ b/crates/mesh/src/retry_after.rs
@@ -1,46 +1,46 @@
-//! When a refused caller is asked to come back.
+//! Delays for `Retry-After`: when a refused caller should retry.
 
 use std::time::Duration;
 
 use rand::Rng as _;
 
-/// The time after which a caller comes back to a path that has no upstream, and by how much more
-/// at most. Cuts and restarts take seconds; objectives of a second and a half leave this much.
-const ABSENCE_RETURN: Duration = Duration::from_millis(900);
-const ABSENCE_SPREAD: Duration = Duration::from_millis(600);
-/// The time after which a caller comes back to a node that lacks news, and by how much more at most.
-/// An allocator of tokens is replaced within 0.3 s to some seconds, and callers try once more only.
-const OUTAGE_RETURN: Duration = Duration::from_millis(500);
-const OUTAGE_SPREAD: Duration = Duration::from_millis(500);
-/// The time after which a caller comes back to a request on trial, and by how much more at most:
-/// one and two runs of middle length.
-const TRIAL_RETURN: Duration = Duration::from_millis(250);
-const TRIAL_SPREAD: Duration = Duration::from_millis(250);
-/// The shortest time after which a caller comes back to a full upstream.
-const SHORTEST_RETURN: Duration = Duration::from_millis(200);
+/// The base delay and jitter of a retry on a path without an upstream. Network partitions and
+/// restarts take seconds; an objective of 1.5 s leaves time for this much.
+const NO_UPSTREAM_DELAY: Duration = Duration::from_millis(900);
+const NO_UPSTREAM_JITTER: Duration = Duration::from_millis(600);
+/// The base delay and jitter of a retry at a node that is cut off from the store or its peers. A
+/// token allocator is replaced within 0.3 s to a few seconds, and callers retry only once.
+const OUTAGE_DELAY: Duration = Duration::from_millis(500);
+const OUTAGE_JITTER: Duration = Duration::from_millis(500);
+/// The base delay and jitter of a retry while another attempt of a suspect request is on trial: one
+/// to two times a typical execution.
+const TRIAL_DELAY: Duration = Duration::from_millis(250);
+const TRIAL_JITTER: Duration = Duration::from_millis(250);
+/// The shortest delay before a retry at a full upstream.
+const MIN_OVERLOAD_DELAY: Duration = Duration::from_millis(200);
 
-/// Returns when a caller is to come back whose node lacks what the store or a neighbour has to
-/// tell it: about when another node has been found that does.
+/// Returns the delay for a node that cannot reach the store or a peer whose state it needs: about
+/// as long as it takes to find another node that can.
 pub(crate) fn outage() -> Duration {
-    OUTAGE_RETURN + OUTAGE_SPREAD.mul_f64(rand::rng().random())
+    OUTAGE_DELAY + OUTAGE_JITTER.mul_f64(rand::rng().random())
 }
 
-/// Returns when a caller is to come back whose path has no upstream somewhere.
+/// Returns the delay for a path on which a service has no upstream.
 ///
-/// Nobody knows for how long, and most callers try once more only: a late try finds the path
-/// back more often than an early one, and one that waits longer is past what its caller hoped
-/// for. Their returns are spread, so that they do not come at once.
+/// The length of the outage is unknown, and most callers retry only once: a later retry is more
+/// likely to succeed, but one that is too late exceeds the time that the caller is willing to wait.
+/// The jitter keeps the retries from arriving at once.
 pub(crate) fn no_upstream() -> Duration {
-    ABSENCE_RETURN + ABSENCE_SPREAD.mul_f64(rand::rng().random())
+    NO_UPSTREAM_DELAY + NO_UPSTREAM_JITTER.mul_f64(rand::rng().random())
 }
 
-/// Returns when a caller is to come back while another attempt of a request is on trial: a run
-/// later. The trial clears the request, or the caller hears that it is held back.
+/// Returns the delay while another attempt of the request is on trial: about one execution. By then
+/// the trial has cleared the request, or the retry is refused as quarantined.
 pub(crate) fn trial() -> Duration {
-    TRIAL_RETURN + TRIAL_SPREAD.mul_f64(rand::rng().random())
+    TRIAL_DELAY + TRIAL_JITTER.mul_f64(rand::rng().random())
 }
 
-/// Returns when a caller is to come back to a full upstream, at some moment within `spread`.
-pub(crate) fn overload(spread: Duration) -> Duration {
-    SHORTEST_RETURN + spread.mul_f64(rand::rng().random())
+/// Returns the delay for a full upstream, with a jitter of up to `jitter`.
+pub(crate) fn overload(jitter: Duration) -> Duration {
+    MIN_OVERLOAD_DELAY + jitter.mul_f64(rand::rng().random())
 }
