--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -113,7 +113,7 @@
         let mut tries = Tries::default();
         let mut last = None;
         self.wake.news().await;
-        self.budget.note_request(&work, clock::now());
+        self.budget.record_request(&work, clock::now());
         loop {
             // What is held against it may have become known while it ran.
             let standing = self.quarantine.standing(&work.identity);
@@ -187,7 +187,7 @@
             work.idempotent && !is_hopeless(returned) && tries.ran_on < route.attempts
         };
         let nodes = self.directory.len() + 1;
-        may_go_on && self.budget.take(work, clock::now(), nodes)
+        may_go_on && self.budget.try_acquire(work, clock::now(), nodes)
     }
 
     async fn attempt(&self, work: &Request, target: &Target) -> Response {
--- a/crates/mesh/src/retry.rs
+++ b/crates/mesh/src/retry.rs
@@ -1,8 +1,8 @@
-//! How many requests may be sent once more.
+//! A retry budget: limits how many requests are sent again.
 //!
-//! All nodes together share one budget for each service. Each takes a fixed
-//! part by what it sees itself, so the bound holds without agreement. The
-//! window goes on while an instance is suspended: upstreams count by it too.
+//! All nodes share one budget for each service. Each node uses a fixed share of it, computed from
+//! its own requests, so that the bound holds without coordination. The window keeps running while
+//! an instance is suspended, since upstreams count retries over time that includes suspensions.
 
 #[cfg(test)]
 mod tests;
@@ -18,71 +18,72 @@
 use crate::request::Request;
 use crate::settings::RetryBounds;
 
-/// The part of the allowed ratio that a node uses for a service while it can tell which calls are
-/// made for repeats, which count as repeats themselves. The rest is for calls in transit.
-const TOLD_SHARE: f64 = 0.85;
-/// The part that it uses while it cannot: the shares of a chain of services add up at its end, and
-/// four services deep that is a quarter each.
-const UNTOLD_SHARE: f64 = 0.25;
-/// The part of the allowed number that all nodes use. One repeat at the top of four services whose
-/// last one is called four times makes some 13 at the bottom.
+/// Share of the allowed retry ratio that a node uses while nested calls can be recognized; those
+/// made for a retry count as retries themselves. The rest covers calls in transit.
+const RECOGNIZED_SHARE: f64 = 0.85;
+/// Share that a node uses while nested calls cannot be recognized: the retries of a chain of
+/// services add up at its last one, so each service of a chain of four gets a quarter.
+const UNRECOGNIZED_SHARE: f64 = 0.25;
+/// Share of the allowed slack that all nodes use. One retry at the top of a chain of four services,
+/// the last of which is called four times, causes about 13 requests at the last one.
 const SLACK_SHARE: f64 = 0.08;
-/// The power of a request's place in the order of shedding that is the part of the budget which it
-/// may use: normal requests up to 1/8 of it, critical ones from 2/5 on. Within an importance the
-/// same requests come first at every service, so that those which get repeats complete.
+/// A request may use the part of the budget that is its relative rank raised to this power: normal
+/// requests up to 1/8 of it, critical ones from 2/5 on. Within an importance level, all services
+/// favor the same requests, so that requests that get retries complete.
 const RANK_POWER: i32 = 3;
-/// The part that any request may use while repeats are not scarce. Three services above the deepest
-/// one may all do so, and what they repeat is made of calls down there, so it is below a third.
-const COMMON_PART: f64 = 0.3;
-/// The part that a call may use for each one before it that was answered well for the same request:
-/// a repeat of the fourth of four calls completes the whole request more often than one of the
-/// first.
-const PROGRESS_PART: f64 = 0.45;
-/// The wanted repeats, as a share of those allowed, from which they begin to be scarce, and by how
-/// much more they are so fully.
-const SCARCE_FROM: f64 = 0.5;
-const SCARCE_SPAN: f64 = 0.5;
-/// Over how long the wanted repeats are counted: within it a flood is seen.
-const DEMAND_TIME: Duration = Duration::from_secs(1);
-/// The window is counted in this many slices.
-const SLICES: u32 = 20;
-
-/// The requests and repeats of one slice of time.
+/// Share of the budget that any request may use while retries are not scarce. The three services
+/// above the deepest one may all use theirs, and their retries add up there as calls, so it is
+/// below a third.
+const COMMON_SHARE: f64 = 0.3;
+/// Share of the budget that a call may use for each earlier call for the same request that
+/// succeeded: retrying the last of four calls is more likely to complete the request than retrying
+/// the first.
+const COMPLETED_CALL_SHARE: f64 = 0.45;
+/// Retries begin to be scarce when their demand reaches this share of the allowed number, and are
+/// fully scarce when it is higher by `SCARCITY_SPAN`.
+const SCARCITY_START: f64 = 0.5;
+const SCARCITY_SPAN: f64 = 0.5;
+/// The demand is measured over this time, which is short enough to notice a flood of retries.
+const DEMAND_WINDOW: Duration = Duration::from_secs(1);
+/// The number of slices per window.
+const SLICES_PER_WINDOW: u32 = 20;
+
+/// Requests and retries counted during one slice of time.
 #[derive(Debug, Clone, Copy)]
 struct Slice {
-    began: Moment,
+    started: Moment,
     requests: u32,
-    repeats: u32,
-    /// Repeats that were asked for, granted or not.
-    wanted: u32,
+    retries: u32,
+    /// Retries that were requested, granted or not.
+    demand: u32,
 }
 
-/// The slices of the present window for one service.
+/// The slices of the recent windows of one service.
 #[derive(Debug, Default)]
 struct Window {
     slices: VecDeque<Slice>,
 }
 
-/// What the decision about a repeat depends on.
+/// The counts that decide whether a retry is granted.
 #[derive(Debug, Clone, Copy, Default)]
 struct Sums {
-    /// The requests that the ratio is taken of.
+    /// The requests to which the ratio applies.
     requests: f64,
-    /// The repeats of the present window.
-    repeats: f64,
-    /// The repeats that would be asked for in a window if it went on as lately.
-    wanted: f64,
+    /// The retries in the current window: those granted here and nested calls made for retries.
+    retries: f64,
+    /// The retries that would be requested in a whole window at the current rate.
+    demand: f64,
 }
 
-/// What this node may send once more.
+/// The retry budget of this node for each service.
 #[derive(Debug)]
 pub(crate) struct Budget {
     bounds: Cell<RetryBounds>,
     windows: RefCell<HashMap<ServiceName, Window>>,
-    /// What fractions are rounded up by, and since when.
-    draws: RefCell<HashMap<ServiceName, (Moment, f64)>>,
-    /// Whether calls of upstreams can be told from requests of clients.
-    is_told: Cell<bool>,
+    /// Rounding offset of each service, with the time when it was drawn.
+    offsets: RefCell<HashMap<ServiceName, (Moment, f64)>>,
+    /// Whether nested calls of upstreams can be distinguished from client requests.
+    recognizes_nested: Cell<bool>,
 }
 
 impl Service for Budget {
@@ -94,95 +95,100 @@
         Self {
             bounds: Cell::new(bounds),
             windows: RefCell::default(),
-            draws: RefCell::default(),
-            is_told: Cell::new(false),
+            offsets: RefCell::default(),
+            recognizes_nested: Cell::new(false),
         }
     }
 
-    /// Puts other bounds into force; what was counted stays.
+    /// Replaces the bounds; the counts are kept.
     pub(crate) fn set_bounds(&self, bounds: RetryBounds) {
         self.bounds.set(bounds);
     }
 
-    /// Notes a request to a service; one that is made for a repeat counts as a repeat itself.
+    /// Counts a request to a service; a nested call made for a retry counts as a retry itself.
     ///
-    /// The first call that could be told from a request of a client shows that calls can be.
-    pub(crate) fn note_request(&self, work: &Request, now: Moment) {
-        if work.is_nested {
-            self.is_told.set(true);
+    /// The first recognized nested call shows that nested calls can be recognized.
+    pub(crate) fn record_request(&self, request: &Request, now: Moment) {
+        if request.is_nested {
+            self.recognizes_nested.set(true);
         }
-        self.with_slice(&work.service, now, |slice| {
+        self.with_slice(&request.service, now, |slice| {
             slice.requests += 1;
-            slice.repeats += u32::from(work.is_retry);
+            slice.retries += u32::from(request.is_retry);
         });
     }
 
-    /// Takes the right to send a request once more; `nodes` share the budget.
-    pub(crate) fn take(&self, work: &Request, now: Moment, nodes: usize) -> bool {
-        self.with_slice(&work.service, now, |slice| slice.wanted += 1);
+    /// Tries to acquire the right to retry a request; `nodes` share the budget.
+    pub(crate) fn try_acquire(&self, request: &Request, now: Moment, nodes: usize) -> bool {
+        self.with_slice(&request.service, now, |slice| slice.demand += 1);
         let Sums {
             requests,
-            repeats,
-            wanted,
-        } = self.sums(&work.service, now);
+            retries,
+            demand,
+        } = self.sums(&request.service, now);
         #[allow(clippy::cast_precision_loss)]
         let slack = self.bounds.get().slack * SLACK_SHARE / nodes.max(1) as f64;
-        let share = if self.is_told.get() {
-            TOLD_SHARE
+        let ratio_share = if self.recognizes_nested.get() {
+            RECOGNIZED_SHARE
         } else {
-            UNTOLD_SHARE
+            UNRECOGNIZED_SHARE
         };
-        let allowed = requests * self.bounds.get().ratio.0 * share + slack;
-        let place = f64::from(work.rank.index()) / f64::from(Rank::HIGHEST.index());
-        let common = COMMON_PART * (1.0 - scarcity(wanted, allowed));
-        let part = place.powi(RANK_POWER).max(common).max(progress_part(work));
-        let whole = (allowed * part + self.draw(&work.service, now)).floor();
-        if repeats + 1.0 > whole {
+        let allowed = requests * self.bounds.get().ratio.0 * ratio_share + slack;
+        let relative_rank = f64::from(request.rank.index()) / f64::from(Rank::HIGHEST.index());
+        let common = COMMON_SHARE * (1.0 - scarcity(demand, allowed));
+        let share = relative_rank
+            .powi(RANK_POWER)
+            .max(common)
+            .max(completed_calls_share(request));
+        let whole = (allowed * share + self.rounding_offset(&request.service, now)).floor();
+        if retries + 1.0 > whole {
             return false;
         }
-        self.with_slice(&work.service, now, |slice| slice.repeats += 1);
+        self.with_slice(&request.service, now, |slice| slice.retries += 1);
         true
     }
 
-    /// Returns what the decision about a repeat depends on.
+    /// Returns the counts that decide whether a retry is granted.
     ///
-    /// The requests are counted in the present window, the one before it or the one half a window
-    /// before it, whichever has most: when the demand falls, its repeats are still under way.
+    /// The requests are the most counted in the current window, the previous one or the one that
+    /// started half a window earlier: when the request rate falls, retries of earlier requests are
+    /// still under way.
     fn sums(&self, service: &ServiceName, now: Moment) -> Sums {
         let mut windows = self.windows.borrow_mut();
         let Some(window) = windows.get_mut(service) else {
             return Sums::default();
         };
         let length = self.bounds.get().window.0;
-        window.forget_before(now, length * 2);
-        let present = window.sum(now, Duration::ZERO, length, |slice| slice.requests);
+        window.discard_older(now, length * 2);
+        let current = window.sum(now, Duration::ZERO, length, |slice| slice.requests);
         let half = window.sum(now, length / 2, length, |slice| slice.requests);
-        let before = window.sum(now, length, length, |slice| slice.requests);
-        let repeats = window.sum(now, Duration::ZERO, length, |slice| slice.repeats);
-        let lately = window.sum(now, Duration::ZERO, DEMAND_TIME, |slice| slice.wanted);
+        let previous = window.sum(now, length, length, |slice| slice.requests);
+        let retries = window.sum(now, Duration::ZERO, length, |slice| slice.retries);
+        let recent = window.sum(now, Duration::ZERO, DEMAND_WINDOW, |slice| slice.demand);
         Sums {
-            requests: present.max(half).max(before),
-            repeats,
-            wanted: lately * length.as_secs_f64() / DEMAND_TIME.as_secs_f64(),
+            requests: current.max(half).max(previous),
+            retries,
+            demand: recent * length.as_secs_f64() / DEMAND_WINDOW.as_secs_f64(),
         }
     }
 
-    /// Returns what a fraction of a repeat is rounded up by, the same for a whole window.
+    /// Returns the rounding offset added to the allowed number, constant for a whole window.
     ///
-    /// A node that sends a service ten requests in a window is allowed less than one repeat. All
-    /// of them together are allowed some, and only the draw gives them to anybody. Drawn for each
-    /// try instead, every node that tries often enough would get one.
-    fn draw(&self, service: &ServiceName, now: Moment) -> f64 {
-        let mut draws = self.draws.borrow_mut();
+    /// A node that sends only a few requests to a service is allowed less than one retry per
+    /// window. A random offset grants the whole retries that the nodes are allowed together to some
+    /// of them. If it were drawn for every attempt, any node that tries often enough would be
+    /// granted one.
+    fn rounding_offset(&self, service: &ServiceName, now: Moment) -> f64 {
+        let mut offsets = self.offsets.borrow_mut();
         let length = self.bounds.get().window.0;
-        if let Some((drawn, draw)) = draws.get(service)
-            && now.since(*drawn) < length
+        if let Some((drawn_at, offset)) = offsets.get(service)
+            && now.since(*drawn_at) < length
         {
-            return *draw;
+            return *offset;
         }
-        let draw = rand::rng().random();
-        draws.insert(service.clone(), (now, draw));
-        draw
+        let offset = rand::rng().random();
+        offsets.insert(service.clone(), (now, offset));
+        offset
     }
 
     fn with_slice(&self, service: &ServiceName, now: Moment, change: impl FnOnce(&mut Slice)) {
@@ -193,15 +199,15 @@
         let Some(window) = windows.get_mut(service) else {
             return;
         };
-        let length = self.bounds.get().window.0 / SLICES;
-        let is_over = |slice: &Slice| now.since(slice.began) >= length;
-        if window.slices.back().is_none_or(is_over) {
-            window.forget_before(now, self.bounds.get().window.0 * 2);
+        let length = self.bounds.get().window.0 / SLICES_PER_WINDOW;
+        let is_full = |slice: &Slice| now.since(slice.started) >= length;
+        if window.slices.back().is_none_or(is_full) {
+            window.discard_older(now, self.bounds.get().window.0 * 2);
             window.slices.push_back(Slice {
-                began: now,
+                started: now,
                 requests: 0,
-                repeats: 0,
-                wanted: 0,
+                retries: 0,
+                demand: 0,
             });
         }
         if let Some(slice) = window.slices.back_mut() {
@@ -210,33 +216,33 @@
     }
 }
 
-/// Returns from 0 to 1 how scarce repeats are when so many are wanted.
-fn scarcity(wanted: f64, allowed: f64) -> f64 {
+/// Returns how scarce retries are, from 0 to 1.
+fn scarcity(demand: f64, allowed: f64) -> f64 {
     if allowed <= 0.0 {
         return 1.0;
     }
-    ((wanted / allowed - SCARCE_FROM) / SCARCE_SPAN).clamp(0.0, 1.0)
+    ((demand / allowed - SCARCITY_START) / SCARCITY_SPAN).clamp(0.0, 1.0)
 }
 
 impl Window {
-    /// Returns the sum over the slices that began within `length` before the moment `ago`.
+    /// Returns the sum over the slices that started within `length` before the time `ago`.
     fn sum(&self, now: Moment, ago: Duration, length: Duration, count: fn(&Slice) -> u32) -> f64 {
         let counted = self.slices.iter().filter(|slice| {
-            let age = now.since(slice.began);
+            let age = now.since(slice.started);
             age >= ago && age < ago + length
         });
         f64::from(counted.map(count).sum::<u32>())
     }
 
-    fn forget_before(&mut self, now: Moment, length: Duration) {
-        let is_old = |slice: &Slice| now.since(slice.began) >= length;
+    fn discard_older(&mut self, now: Moment, length: Duration) {
+        let is_old = |slice: &Slice| now.since(slice.started) >= length;
         while self.slices.front().is_some_and(is_old) {
             self.slices.pop_front();
         }
     }
 }
 
-/// Returns the part of the budget that a call may use for what its request has come to already.
-fn progress_part(work: &Request) -> f64 {
-    (PROGRESS_PART * f64::from(work.completed_calls)).min(1.0)
+/// Returns the share of the budget that a call may use for earlier calls that succeeded.
+fn completed_calls_share(request: &Request) -> f64 {
+    (COMPLETED_CALL_SHARE * f64::from(request.completed_calls)).min(1.0)
 }
--- a/crates/mesh/src/retry/tests.rs
+++ b/crates/mesh/src/retry/tests.rs
@@ -1,4 +1,4 @@
-//! The budget under time that the test sets.
+//! The retry budget under simulated time.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     window: Period::from_millis(10_000),
 };
 
-fn work(rank: Rank, is_retry: bool) -> Request {
+fn request(rank: Rank, is_retry: bool) -> Request {
     Request {
         workspace: None,
         completed_calls: 0,
@@ -38,53 +38,55 @@
     }
 }
 
-/// Takes repeats until there are none left.
+/// Acquires retries until none are left.
 fn drain(budget: &Budget, rank: Rank, now: Moment) -> usize {
-    let work = work(rank, false);
+    let request = request(rank, false);
     (0..10_000)
-        .take_while(|_| budget.take(&work, now, 15))
+        .take_while(|_| budget.try_acquire(&request, now, 15))
         .count()
 }
 
-fn note(budget: &Budget, requests: usize, is_retry: bool, now: Moment) {
+fn record(budget: &Budget, requests: usize, is_retry: bool, now: Moment) {
     for _ in 0..requests {
-        budget.note_request(&work(Rank::HIGHEST, is_retry), now);
+        budget.record_request(&request(Rank::HIGHEST, is_retry), now);
     }
 }
 
-/// Lets the budget see one call that can be told from a request of a client.
-fn tell(budget: &Budget, now: Moment) {
+/// Records a nested call, so that the budget knows that nested calls can be recognized.
+fn record_nested(budget: &Budget, now: Moment) {
     let call = Request {
         is_nested: true,
-        ..work(Rank::HIGHEST, false)
+        ..request(Rank::HIGHEST, false)
     };
-    budget.note_request(&call, now);
+    budget.record_request(&call, now);
 }
 
 #[test]
 fn within_the_ratio() {
     let budget = Budget::new(BOUNDS);
     let now = clock::now();
-    note(&budget, 1000, false, now);
-    tell(&budget, now);
+    record(&budget, 1000, false, now);
+    record_nested(&budget, now);
     let taken = drain(&budget, Rank::HIGHEST, now);
     assert!((150..=200).contains(&taken), "{taken} of 200 allowed");
 }
 
-/// Four services deep, each at its share, the deepest stays within the ratio.
+/// Nested calls cannot be recognized: four chained services that each use their share stay within
+/// the ratio at the last one.
 #[test]
 fn untold_chain() {
     let budget = Budget::new(BOUNDS);
     let now = clock::now();
-    note(&budget, 1000, false, now);
+    record(&budget, 1000, false, now);
     let taken = drain(&budget, Rank::HIGHEST, now);
     assert!(taken * 4 <= 204, "{taken} at each of four services");
     assert!(taken > 0);
 }
 
-/// Nodes without requests use no more than the slack, also where one repeat makes many.
+/// Nodes without requests stay within the common slack, even if one retry causes many requests.
 ///
-/// Each gets one or none; the mean of 4,000 is within 5 standard deviations of what is allowed.
+/// Each node gets one retry or none; the mean over 4,000 nodes is within 5 standard deviations of
+/// the allowed number.
 #[test]
 fn slack_is_shared() {
     let now = clock::now();
@@ -103,9 +105,9 @@
 fn calls_of_repeats_count() {
     let budget = Budget::new(BOUNDS);
     let now = clock::now();
-    tell(&budget, now);
-    note(&budget, 800, false, now);
-    note(&budget, 200, true, now);
+    record_nested(&budget, now);
+    record(&budget, 800, false, now);
+    record(&budget, 200, true, now);
     assert_eq!(drain(&budget, Rank::HIGHEST, now), 0);
 }
 
@@ -113,50 +115,50 @@
 fn important_ones_first() {
     let budget = Budget::new(BOUNDS);
     let now = clock::now();
-    tell(&budget, now);
-    note(&budget, 1000, false, now);
+    record_nested(&budget, now);
+    record(&budget, 1000, false, now);
     let normal = drain(&budget, Rank::from_index(130), now);
     let critical = drain(&budget, Rank::HIGHEST, now);
     assert!(normal > 0);
     assert!(critical > normal * 3, "{critical} after {normal}");
 }
 
-/// While fewer repeats are wanted than are allowed, no request goes without for its rank.
+/// While retries are not scarce, requests of any rank get them.
 #[test]
 fn few_are_for_all() {
     let budget = Budget::new(BOUNDS);
     let start = clock::now();
-    tell(&budget, start);
-    let lesser = work(Rank::from_index(70), false);
+    record_nested(&budget, start);
+    let low = request(Rank::from_index(70), false);
     let mut granted = 0;
     for tenth in 0..200 {
         let now = start + Duration::from_millis(100 * tenth);
-        note(&budget, 100, false, now);
-        granted += u32::from(budget.take(&lesser, now, 15));
-        granted += u32::from(budget.take(&lesser, now, 15));
+        record(&budget, 100, false, now);
+        granted += u32::from(budget.try_acquire(&low, now, 15));
+        granted += u32::from(budget.try_acquire(&low, now, 15));
     }
-    // The first ones come before there is a budget.
+    // The first attempts come before enough requests have been counted.
     assert!(granted >= 380, "{granted} of 400, 2 % of the requests");
 }
 
-/// Repeats of normal requests at three services add up, as calls, at the one below them all.
+/// Retries of normal requests at three services add up as calls at the service below them.
 #[test]
 fn levels_add_up() {
     for wanted_each in [1, 4, 7, 10, 20] {
         let budget = Budget::new(BOUNDS);
         let start = clock::now();
-        tell(&budget, start);
-        let normal = work(Rank::from_index(127), false);
+        record_nested(&budget, start);
+        let normal = request(Rank::from_index(127), false);
         let mut granted = 0;
         for tenth in 0..300 {
             let now = start + Duration::from_millis(100 * tenth);
-            note(&budget, 100, false, now);
+            record(&budget, 100, false, now);
             for _ in 0..wanted_each {
-                let is_granted = budget.take(&normal, now, 15);
+                let is_granted = budget.try_acquire(&normal, now, 15);
                 granted += u32::from(is_granted && tenth >= 100);
             }
         }
-        // Of 20,000 requests.
+        // 20,000 requests are counted meanwhile.
         assert!(
             granted * 3 <= 4000,
             "{granted} with {wanted_each} in 100 wanted"
@@ -164,26 +166,26 @@
     }
 }
 
-/// Once far more are wanted than are allowed, those that matter more still get theirs.
+/// When the demand far exceeds the budget, more important requests still get their retries.
 #[test]
 fn flood_leaves_room() {
     let budget = Budget::new(BOUNDS);
     let start = clock::now();
-    tell(&budget, start);
-    let (lesser, critical) = (
-        work(Rank::from_index(70), false),
-        work(Rank::HIGHEST, false),
+    record_nested(&budget, start);
+    let (low, critical) = (
+        request(Rank::from_index(70), false),
+        request(Rank::HIGHEST, false),
     );
     let (mut granted, mut wanted) = (0, 0);
     for tenth in 0..200 {
         let now = start + Duration::from_millis(100 * tenth);
-        note(&budget, 100, false, now);
+        record(&budget, 100, false, now);
         for _ in 0..50 {
-            budget.take(&lesser, now, 15);
+            budget.try_acquire(&low, now, 15);
         }
         for _ in 0..10 {
             wanted += 1;
-            granted += u32::from(budget.take(&critical, now, 15));
+            granted += u32::from(budget.try_acquire(&critical, now, 15));
         }
     }
     assert!(granted * 10 >= wanted * 9, "{granted} of {wanted}");
@@ -193,8 +195,8 @@
 fn windows_pass() {
     let budget = Budget::new(BOUNDS);
     let now = clock::now();
-    tell(&budget, now);
-    note(&budget, 1000, false, now);
+    record_nested(&budget, now);
+    record(&budget, 1000, false, now);
     let first = drain(&budget, Rank::HIGHEST, now);
     let later = now + Duration::from_secs(11);
     let second = drain(&budget, Rank::HIGHEST, later);
@@ -206,26 +208,26 @@
     assert!(drain(&budget, Rank::HIGHEST, much_later) < 2);
 }
 
-/// The requests of before a suspension are as old as the upstreams count them.
+/// Counts age while the instance is suspended, as they do for the upstreams.
 #[test]
 fn window_goes_on_suspended() {
     let budget = Budget::new(BOUNDS);
     let before = clock::now();
-    note(&budget, 1000, false, before);
+    record(&budget, 1000, false, before);
     assert!(drain(&budget, Rank::HIGHEST, clock::now()) > 0);
     clock::suspend(BOUNDS.window.0 * 3);
     let after = drain(&budget, Rank::HIGHEST, clock::now());
     assert!(after <= 1, "{after} repeats without requests");
 }
 
-/// Plays requests that each make four calls, one after the other, to a service that turns away so
-/// many of a hundred; returns how many of a hundred get through all four.
-fn chains_through(turned_away: u32, sees_progress: bool) -> u32 {
+/// Simulates requests that each make four sequential calls to a service that rejects the given
+/// percentage of calls; returns the percentage of requests whose four calls all succeed.
+fn completed_percent(rejected_percent: u32, counts_completed: bool) -> u32 {
     const MOST_TRIES: u32 = 5;
     let budget = Budget::new(BOUNDS);
     let start = clock::now();
-    tell(&budget, start);
-    // The same turns for both ways.
+    record_nested(&budget, start);
+    // Both variants draw the same sequence.
     let mut state = 0x2545_f491_4f6c_dd1d_u64;
     let mut draw = move || {
         state ^= state << 13;
@@ -240,14 +242,14 @@
         let mut answered = 0;
         while answered < 4 {
             let call = Request {
-                completed_calls: if sees_progress { answered } else { 0 },
+                completed_calls: if counts_completed { answered } else { 0 },
                 is_nested: true,
-                ..work(rank, false)
+                ..request(rank, false)
             };
-            budget.note_request(&call, now);
+            budget.record_request(&call, now);
             let is_in = (0..MOST_TRIES).any(|number| {
-                let may_try = number == 0 || budget.take(&call, now, 15);
-                may_try && draw() >= turned_away
+                let may_try = number == 0 || budget.try_acquire(&call, now, 15);
+                may_try && draw() >= rejected_percent
             });
             if !is_in {
                 break;
@@ -262,10 +264,10 @@
     through * 100 / begun
 }
 
-/// While a service turns away four of ten calls, repeats go to those that complete a request.
+/// While a service rejects 40 % of calls, retries go to calls that complete a request.
 #[test]
 fn nearly_through_first() {
-    let (with, without) = (chains_through(40, true), chains_through(40, false));
+    let (with, without) = (completed_percent(40, true), completed_percent(40, false));
     println!("{with} of 100 requests get through, {without} without a look at their progress");
     assert!(with > without, "{with} and {without}");
 }
