--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -56,7 +56,7 @@
     pub(crate) first_start: bool,
     pub(crate) started: Instant,
     /// Whether a beat of a new life is being looked into.
-    pub(crate) looking: Cell<bool>,
+    pub(crate) is_looking_up: Cell<bool>,
     /// The last life that this process has acknowledged to leave, of each id.
     pub(crate) acknowledged: RefCell<BTreeMap<String, UpstreamKey>>,
 }
@@ -66,9 +66,9 @@
 }
 
 /// The handler of the port.
-pub(crate) struct AnnouncementPort(pub(crate) Rc<Announcements>);
+pub(crate) struct Endpoint(pub(crate) Rc<Announcements>);
 
-impl Handler for AnnouncementPort {
+impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         let announcements = &self.0;
         match announcements.read(&request) {
@@ -103,7 +103,7 @@
                 told: beat.address,
             });
         }
-        if beat.upstream.born().is_none() && self.upstream.tells_start() {
+        if beat.upstream.started().is_none() && self.upstream.reports_start() {
             return Err(AnnouncementError::Start);
         }
         Ok(())
@@ -144,20 +144,22 @@
     fn take_ready(self: &Rc<Self>, beat: Heartbeat) {
         let now = Instant::now();
         // At a first start what left is what this process has heard of itself.
-        if self.first_start || !self.upstream.is_new(&beat, now) {
-            self.upstream.take(&beat, now);
+        if self.first_start || !self.upstream.is_new_incarnation(&beat, now) {
+            self.upstream.handle_heartbeat(&beat, now);
             return;
         }
-        if self.looking.replace(true) {
+        if self.is_looking_up.replace(true) {
             return;
         }
         let announcements = Rc::clone(self);
         task::spawn("upstream lookup", async move {
             if !announcements.has_left(&beat.upstream).await {
                 announcements.hear_news().await;
-                announcements.upstream.take(&beat, Instant::now());
+                announcements
+                    .upstream
+                    .handle_heartbeat(&beat, Instant::now());
             }
-            announcements.looking.set(false);
+            announcements.is_looking_up.set(false);
         });
     }
 
@@ -172,7 +174,7 @@
     /// Asks the own upstream who it is, so that a node that is back does not wait for a beat.
     ///
     /// An upstream announces itself every 1.5 s, and goes without work until then.
-    pub(crate) async fn ask_upstream(self: Rc<Self>, current: Rc<Current>) {
+    pub(crate) async fn probe_upstream(self: Rc<Self>, current: Rc<Current>) {
         while current.get().is_none() {
             sleep(LOOK).await;
         }
--- a/crates/mesh/src/contexts/tests.rs
+++ b/crates/mesh/src/contexts/tests.rs
@@ -103,14 +103,15 @@
 fn absence_goes_up() {
     let contexts = Rc::new(Contexts::default());
     let open = contexts.open(&work("a"), &upstream());
-    open.context.note(&Response::refused(Reason::Overload));
+    open.context
+        .record_result(&Response::refused(Reason::Overload));
     assert!(!open.context.absent_below.get());
     let call = Response {
         failed_below: true,
         absent_below: true,
         ..Response::answered(500, Bytes::new(), Body::Whole(Bytes::new()))
     };
-    open.context.note(&call);
+    open.context.record_result(&call);
     assert!(open.context.absent_below.get());
     let nobody = Response::refused(Reason::NoUpstream);
     assert!(nobody.found_no_upstream() && call.found_no_upstream());
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -121,7 +121,7 @@
                 last = Some(Response::refused(Reason::Quarantined));
                 break;
             }
-            work.known_crashes = standing.known();
+            work.known_crashes = standing.known_crashes();
             let Some(target) = self.choose(&work, standing, &mut tries) else {
                 break;
             };
@@ -207,7 +207,7 @@
 /// all its calls again. An upstream whose requests wait is no reason: one lost answer in five
 /// calls of a request loses all of them, and while demand is high requests always wait somewhere.
 fn is_hopeless(returned: &Response) -> bool {
-    returned.failed_below || returned.path_pressure >= Pressure::REFUSING
+    returned.failed_below || returned.path_pressure >= Pressure::OVERLOADED
 }
 
 /// Returns which of two ends the caller is told of.
@@ -242,7 +242,7 @@
 async fn attempt_remote(work: &Request, link: &Link) -> Response {
     if !work.idempotent {
         return match link.forward(work).await {
-            Delivery::Returned(returned) => returned,
+            Delivery::Answered(returned) => returned,
             Delivery::Unsent => Response::refused(Reason::Connection),
             Delivery::Lost(life) => link.recall(&work.attempt, life).await,
         };
@@ -250,7 +250,7 @@
     let forward = std::pin::pin!(link.forward(work));
     let silence = std::pin::pin!(wait_for_silence(link));
     match select(forward, silence).await {
-        Either::Left((Delivery::Returned(returned), _)) => returned,
+        Either::Left((Delivery::Answered(returned), _)) => returned,
         Either::Left((Delivery::Unsent, _)) => Response::refused(Reason::Connection),
         Either::Left((Delivery::Lost(_), _)) | Either::Right(_) => {
             Response::unknown(Reason::Connection)
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -160,7 +160,7 @@
         Err(Late) => poll_after_deadline(incoming.deadline, dispatch).await,
     };
     if let Some(parent) = &incoming.parent {
-        parent.note(&response);
+        parent.record_result(&response);
     }
     response
 }
--- a/crates/mesh/src/entry/sender.rs
+++ b/crates/mesh/src/entry/sender.rs
@@ -98,7 +98,7 @@
             && disposition != Disposition::Abort
             && let Some(identity) = trail.identity()
         {
-            self.entry.dispatcher.quarantine.note_good_end(&identity);
+            self.entry.dispatcher.quarantine.record_success(&identity);
         }
         disposition
     }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 use futures::channel::oneshot;
-use sailtrack_admission::{Admission, Hold, Outset, OutsetPlace, Pressure};
+use sailtrack_admission::{Admission, Pressure, Rejection, Throttle, ThrottlePermit};
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::task::{self, Held};
@@ -68,7 +68,7 @@
     service: ServiceName,
     upstream: Rc<Upstream>,
     admission: Rc<Admission>,
-    outset: Rc<Outset>,
+    outset: Rc<Throttle>,
     contexts: Rc<Contexts>,
     records: Rc<Records>,
     events: Rc<Events>,
@@ -115,7 +115,7 @@
         Response {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
-            path_pressure: returned.path_pressure.greater(pressure),
+            path_pressure: returned.path_pressure.max(pressure),
             ..returned
         }
     }
@@ -159,11 +159,11 @@
     async fn enter(
         &self,
         work: &mut Request,
-        outset: Option<OutsetPlace>,
+        outset: Option<ThrottlePermit>,
     ) -> Result<Entered, Response> {
         let permit = self
             .admission
-            .enter_as(work.class, work.rank, work.is_nested, work.time_left())
+            .enter_in_class(work.class, work.rank, work.is_nested, work.time_left())
             .await;
         let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
         let Some(upstream) = self.open_upstream(work, Instant::now()) else {
@@ -186,7 +186,7 @@
     /// sender may know less.
     fn begin_trial(&self, work: &mut Request) -> Result<Option<Turn>, Reason> {
         let standing = self.quarantine.standing(&work.identity);
-        work.known_crashes = work.known_crashes.max(standing.known());
+        work.known_crashes = work.known_crashes.max(standing.known_crashes());
         match standing {
             Standing::Clear | Standing::Suspected { .. } => Ok(None),
             Standing::OnTrial { .. } => {
@@ -229,18 +229,18 @@
     }
 
     /// Takes in how many connections the own upstream accepts.
-    pub(crate) fn bound_connections(&self, connections: usize) {
+    pub(crate) fn limit_connections(&self, connections: usize) {
         self.pool.bound(connections);
     }
 
     /// Takes in the longest time that any request may take.
-    pub(crate) fn bound_time(&self, time: Duration) {
+    pub(crate) fn limit_request_time(&self, time: Duration) {
         self.longest.set(time);
     }
 
     /// Takes in that another life of the upstream begins: unused connections lead to an earlier
     /// one, and what broke its connections just before may have ended it.
-    pub(crate) fn note_new_life(&self) {
+    pub(crate) fn handle_new_incarnation(&self) {
         self.pool.clear();
         self.room.clear();
         self.adopt();
@@ -283,10 +283,10 @@
     }
 
     /// Returns the place of a client's request among those of its kind.
-    fn begin(&self, work: &Request, now: Instant) -> Result<Option<OutsetPlace>, Hold> {
+    fn begin(&self, work: &Request, now: Instant) -> Result<Option<ThrottlePermit>, Rejection> {
         if work.is_nested {
             return Ok(None);
         }
-        self.outset.begin(&work.kind, now).map(Some)
+        self.outset.acquire(&work.kind, now).map(Some)
     }
 }
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use sailtrack_admission::Hold;
+use sailtrack_admission::Rejection;
 use sailtrack_wire::Reason;
 
 use super::Gate;
@@ -11,10 +11,10 @@
 use crate::retry_after;
 
 impl Gate {
-    pub(super) fn hold_back(&self, work: &Request, hold: Hold) -> Response {
+    pub(super) fn hold_back(&self, work: &Request, hold: Rejection) -> Response {
         match hold {
-            Hold::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
-            Hold::Path => Response {
+            Rejection::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
+            Rejection::Breaker => Response {
                 absent_below: true,
                 ..self.refuse_at(work, Reason::NoUpstream, Bound::Path)
             },
@@ -36,7 +36,7 @@
         let after = match (bound, reason) {
             (Bound::Path, _) => retry_after::no_upstream(),
             (_, Reason::OnTrial) => retry_after::trial(),
-            _ => retry_after::overload(self.admission.return_spread(Instant::now())),
+            _ => retry_after::overload(self.admission.retry_spread(Instant::now())),
         };
         Response::refused(reason).with_retry_after(after)
     }
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -48,7 +48,7 @@
             Waited::Silent => Response::unknown(Reason::Connection),
         };
         if returned.outcome == Outcome::Done {
-            self.quarantine.note_answered(&work.identity);
+            self.quarantine.record_answer(&work.identity);
             sent.note_answer(&returned, self.upstream.report.slowness());
         }
         Response {
@@ -87,7 +87,7 @@
         }
         self.watcher.note_answer(upstream, sent_at);
         if says_not_run {
-            self.admission.note_shed(Instant::now());
+            self.admission.record_shed(Instant::now());
             return Response::rejected_by_upstream(Reason::UpstreamShed);
         }
         if PROMISES.contains(&head.status) {
--- a/crates/mesh/src/request.rs
+++ b/crates/mesh/src/request.rs
@@ -153,7 +153,7 @@
     /// requests than the upstream has slots, so it refuses for another reason.
     pub(crate) fn observed_pressure(&self) -> Pressure {
         match self.reason {
-            Reason::Overload => self.path_pressure.greater(Pressure::REFUSING),
+            Reason::Overload => self.path_pressure.max(Pressure::OVERLOADED),
             _ => self.path_pressure,
         }
     }
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -11,7 +11,7 @@
 use sailtrack_admission::Admission;
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_placement::{Candidate, Side, Sides, choose};
+use sailtrack_placement::{Candidate, Candidates, Locality, choose};
 use sailtrack_quarantine::Identity;
 use sailtrack_units::{Class, KindName, NodeName, ServiceName};
 
@@ -22,7 +22,7 @@
 
 use crate::gate::Upstream;
 use crate::metrics::Metrics;
-use crate::peer::{Link, Peers, Placed};
+use crate::peer::{Group, Link, Peers};
 use crate::request::{Request, Response};
 
 /// Where a request goes.
@@ -68,25 +68,28 @@
     /// Nodes that failed lately are left out too, unless there is no other one.
     pub(crate) fn choose(&self, work: &Request, tried: &[NodeName]) -> Option<Target> {
         let now = Instant::now();
-        let placed = self.peers.of_service(&work.service).unwrap_or_default();
+        let placed = self.peers.for_service(&work.service).unwrap_or_default();
         let history = self.statistics.of(&work.service);
         let is_own = self.takes(&work.service, tried, now);
-        let need = history.times.borrow().need(&work.kind, work.time_left());
-        let levels = [&placed.near_levels, &placed.far_levels];
+        let need = history
+            .times
+            .borrow()
+            .estimate(&work.kind, work.time_left());
+        let levels = [&placed.same_domain_levels, &placed.other_domain_levels];
         let levels = levels.map(|levels| levels.borrow().at(now, work.class));
-        let sides = Sides {
+        let sides = Candidates {
             // The own upstream comes after the other near ones.
-            near: placed.near.len() + usize::from(is_own),
-            far: placed.far.len(),
-            look: |side, place| match link(&placed, side, place) {
+            same_domain: placed.same_domain.len() + usize::from(is_own),
+            other_domains: placed.other_domains.len(),
+            lookup: |side, place| match link(&placed, side, place) {
                 Some(link) => look(link, work.class, tried, now),
                 None => Some(self.look_at_own(work.class, now)),
             },
-            emptier: levels[0] - levels[1],
-            recent: &history.recent,
+            pressure_gap: levels[0] - levels[1],
+            shortlist: &history.recent,
         };
         let (side, place) = choose(&sides, &need, &mut rand::rng())?;
-        if side == Side::Far && sides.near > 0 {
+        if side == Locality::OtherDomain && sides.same_domain > 0 {
             self.metrics.note_left_domain(&work.service);
         }
         let link = link(&placed, side, place);
@@ -103,8 +106,8 @@
         tried: &[NodeName],
         identity: &Identity,
     ) -> Option<Target> {
-        let placed = self.peers.of_service(service).unwrap_or_default();
-        let links = placed.near.iter().chain(&placed.far);
+        let placed = self.peers.for_service(service).unwrap_or_default();
+        let links = placed.same_domain.iter().chain(&placed.other_domains);
         let remote = links
             .filter(|link| is_usable(link, tried))
             .map(|link| Target::Remote(Rc::clone(link)));
@@ -145,10 +148,10 @@
 }
 
 /// Returns the link in a place, or nothing for the own upstream.
-fn link(placed: &Placed, side: Side, place: usize) -> Option<&Rc<Link>> {
+fn link(placed: &Group, side: Locality, place: usize) -> Option<&Rc<Link>> {
     match side {
-        Side::Near => placed.near.get(place),
-        Side::Far => placed.far.get(place),
+        Locality::SameDomain => placed.same_domain.get(place),
+        Locality::OtherDomain => placed.other_domains.get(place),
     }
 }
 
