--- a/crates/mesh/src/routing/load.rs
+++ b/crates/mesh/src/routing/load.rs
@@ -1,4 +1,4 @@
-//! What a node has learned about one other node from the answers to its requests.
+//! Load, latency and failure statistics of another node, measured by this one.
 
 #[cfg(test)]
 mod tests;
@@ -14,28 +14,29 @@
 
 use crate::request::Response;
 
-/// The weight of the newest answer in the share of failures.
-const NEWEST_WEIGHT: f64 = 0.1;
-/// After this time without requests half of the failures count.
-const FAILING_HALF_LIFE: Duration = Duration::from_secs(1);
-/// This many failures in a row keep requests away from a node.
-const FAILURES_TO_EJECT: u32 = 5;
-/// For how long they do the first time; each further time doubles it.
+/// The weight of the latest response in the failure rate, an exponential moving average.
+const FAILURE_RATE_WEIGHT: f64 = 0.1;
+/// The failure rate halves after this time without responses.
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(1);
+/// This many consecutive failures eject a node.
+const EJECTION_THRESHOLD: u32 = 5;
+/// The duration of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(300);
-/// How often it doubles at most.
-const MOST_DOUBLINGS: u32 = 4;
+/// The most times the duration doubles.
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
-/// How full the nodes of a service and side are together, for each importance.
+/// The average pressure of a group of nodes that serve one service, by importance.
 #[derive(Debug, Default)]
 pub(crate) struct Levels([Average; Importance::ALL.len()]);
 
 impl Levels {
-    /// Returns how full they are for requests of a class.
+    /// Returns the pressure for requests of a class.
     pub(crate) fn at(&self, now: Instant, class: Class) -> f64 {
         self.of(class).at(now)
     }
 
-    /// Returns the level for a class; before any is known, that which all nodes tell.
+    /// Returns the average for a class; until there is one, that for normal importance, which all
+    /// nodes report.
     fn of(&self, class: Class) -> Average {
         let own = self.0[class.workspace as usize];
         if own.is_known() {
@@ -46,28 +47,29 @@
     }
 }
 
-/// What a node has learned about one other node.
+/// Load, latency and failure statistics of another node.
 #[derive(Debug, Default)]
 pub(crate) struct PeerLoad {
     /// Requests sent and not answered yet.
     pub(crate) outstanding: u32,
-    /// What it told last, for each importance: what matters less gives way and does not count.
-    news: [LoadReport; Importance::ALL.len()],
+    /// The latest load reports by importance: less important requests yield to others in the queue
+    /// and do not count for them.
+    reports: [LoadReport; Importance::ALL.len()],
     pace: PaceReport,
-    /// How full the nodes of its service and side are together.
+    /// The average pressure of the nodes of its group.
     levels: Rc<RefCell<Levels>>,
     speed: Speed,
-    /// The share of requests that failed lately,
-    failing: f64,
-    /// and when that was last seen.
-    failed_at: Option<Instant>,
-    failures: u32,
+    /// The moving average of failures
+    failure_rate: f64,
+    /// and the time of its last update.
+    failure_rate_at: Option<Instant>,
+    consecutive_failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
 }
 
 impl PeerLoad {
-    /// Returns what is known at first of a node whose service and side are this full.
+    /// Creates the statistics of a node whose group has these average pressures.
     pub(crate) fn with_levels(levels: &Rc<RefCell<Levels>>) -> Self {
         Self {
             levels: Rc::clone(levels),
@@ -75,110 +77,117 @@
         }
     }
 
-    /// Notes how full the node says that it is, and the pace of its instance.
+    /// Records the pressure and pace that the node reports.
     pub(crate) fn record_report(&mut self, now: Instant, percent: u32, pace: Option<Pace>) {
         let pressure = Pressure::from_percent(percent);
-        self.note_news(now, Importance::Normal.into(), pressure, pace);
+        self.record_pressure(now, Importance::Normal.into(), pressure, pace);
     }
 
-    fn note_news(&mut self, now: Instant, class: Class, pressure: Pressure, pace: Option<Pace>) {
+    fn record_pressure(
+        &mut self,
+        now: Instant,
+        class: Class,
+        pressure: Pressure,
+        pace: Option<Pace>,
+    ) {
         let importance = class.workspace as usize;
-        self.news[importance].record(now, pressure, self.outstanding);
+        self.reports[importance].record(now, pressure, self.outstanding);
         self.levels.borrow_mut().0[importance].record(now, pressure.0);
         if let Some(pace) = pace {
             self.pace.record(now, pace);
         }
     }
 
-    /// Notes what became of a request of a class; returns for how long the node is left out if
-    /// that begins with it.
-    pub(crate) fn note(
+    /// Records the result of a request; returns the duration of the ejection that starts with it,
+    /// if any.
+    pub(crate) fn record(
         &mut self,
         now: Instant,
         class: Class,
-        returned: &Response,
+        response: &Response,
     ) -> Option<Duration> {
-        if returned.reason != Reason::Connection {
-            // Where the connection broke nothing was told.
-            self.note_news(now, class, returned.pressure, returned.pace);
+        if response.reason != Reason::Connection {
+            // A broken connection carries no load report.
+            self.record_pressure(now, class, response.pressure, response.pace);
         }
-        let failed = is_failure(returned);
-        let before = self.failing(now);
-        self.failing = before + (f64::from(u8::from(failed)) - before) * NEWEST_WEIGHT;
-        self.failed_at = Some(now);
-        if returned.reason == Reason::UpstreamShed {
-            // The next request may be let in; without any the service would be gone.
+        let failed = is_failure(response);
+        let before = self.failure_rate(now);
+        self.failure_rate = before + (f64::from(u8::from(failed)) - before) * FAILURE_RATE_WEIGHT;
+        self.failure_rate_at = Some(now);
+        if response.reason == Reason::UpstreamShed {
+            // The next request may be accepted; ejecting nodes that shed load could leave the
+            // service without any.
             return None;
         }
         if failed {
-            return self.note_failure(now);
+            return self.record_failure(now);
         }
-        if returned.outcome == Outcome::Done {
-            self.failures = 0;
+        if response.outcome == Outcome::Done {
+            self.consecutive_failures = 0;
             self.ejections = 0;
             self.ejected_until = None;
         }
         None
     }
 
-    /// Learns from how long a request took; one that ended without an answer would have taken
-    /// longer.
-    pub(crate) fn note_time(
+    /// Records the latency of a request; for one that ended without a response it is a lower bound.
+    pub(crate) fn record_latency(
         &mut self,
         now: Instant,
-        times: &mut Latencies,
+        latencies: &mut Latencies,
         (class, kind): (Class, &KindName),
         time: Duration,
-        returned: Option<&Response>,
+        response: Option<&Response>,
     ) {
-        let told = returned.and_then(|returned| returned.pace);
+        let reported = response.and_then(|response| response.pace);
         let level = || self.levels.borrow().at(now, class);
-        let pressure = returned.map_or_else(level, |returned| returned.pressure.0);
+        let pressure = response.map_or_else(level, |response| response.pressure.0);
         let sample = Sample {
             time,
             pressure,
-            pace: told.map_or_else(|| self.pace.factor(now), Pace::factor),
-            is_answered: returned.is_some(),
+            pace: reported.map_or_else(|| self.pace.factor(now), Pace::factor),
+            is_answered: response.is_some(),
         };
-        times.record(kind, &mut self.speed, now, sample);
+        latencies.record(kind, &mut self.speed, now, sample);
     }
 
-    /// Returns what speaks for and against it for a request of a class; its upstream has this many
-    /// slots, and is this full if that is known for sure.
+    /// Returns the properties by which the node is compared with others for a request of a class.
+    /// `slots` are those of its upstream; `known_pressure` is its pressure if that is known exactly.
     pub(crate) fn candidate(
         &self,
         now: Instant,
         slots: u32,
         class: Class,
-        sure: Option<Pressure>,
+        known_pressure: Option<Pressure>,
     ) -> Candidate {
-        let told = || {
+        let reported = || {
             let level = self.levels.borrow().of(class);
-            let own = &self.news[class.workspace as usize];
-            let usual = &self.news[Importance::Normal as usize];
-            let news = if own.is_known() { own } else { usual };
-            news.pressure(now, self.outstanding, slots, &level)
+            let own = &self.reports[class.workspace as usize];
+            let usual = &self.reports[Importance::Normal as usize];
+            let report = if own.is_known() { own } else { usual };
+            report.pressure(now, self.outstanding, slots, &level)
         };
         Candidate {
             is_available: self.is_available(now),
-            pressure: sure.unwrap_or_else(told).0,
-            failure_rate: self.failing(now),
+            pressure: known_pressure.unwrap_or_else(reported).0,
+            failure_rate: self.failure_rate(now),
             slowness: self.speed.slowness(now) * self.pace.factor(now),
             uncertainty: self.speed.uncertainty(),
         }
     }
 
-    /// Returns true if an answer of it was seen.
+    /// Returns true if the latency of the node has been measured.
     pub(crate) fn is_known(&self) -> bool {
         self.speed.is_known()
     }
 
-    /// Returns how many times as long as the others it takes, and the pace of its instance.
+    /// Returns the slowness relative to the other nodes of the service, and the pace of the
+    /// instance.
     pub(crate) fn slowness_and_pace(&self, now: Instant) -> (f64, f64) {
         (self.speed.slowness(now), self.pace.factor(now))
     }
 
-    /// Forgets what was learned, as another upstream stands there now.
+    /// Discards the statistics because the node has a new upstream; requests in flight still count.
     pub(crate) fn reset(&mut self) {
         *self = Self {
             outstanding: self.outstanding,
@@ -187,16 +196,17 @@
         };
     }
 
-    /// Returns the share of requests that failed lately; without new ones it fades, or a node
-    /// that failed once would get nothing by which it could show that it no longer does.
-    pub(crate) fn failing(&self, now: Instant) -> f64 {
+    /// Returns the failure rate, which decays without responses: otherwise a node that failed once
+    /// would get no requests that show that it has recovered.
+    pub(crate) fn failure_rate(&self, now: Instant) -> f64 {
         let age = self
-            .failed_at
+            .failure_rate_at
             .map_or(Duration::ZERO, |seen| now.saturating_duration_since(seen));
-        self.failing * 0.5_f64.powf(age.as_secs_f64() / FAILING_HALF_LIFE.as_secs_f64())
+        self.failure_rate * 0.5_f64.powf(age.as_secs_f64() / FAILURE_RATE_HALF_LIFE.as_secs_f64())
     }
 
-    /// Returns true if a request may be sent; a node that returns gets one at a time.
+    /// Returns true if a request may be sent; after an ejection only one at a time, until one
+    /// succeeds.
     pub(crate) fn is_available(&self, now: Instant) -> bool {
         match self.ejected_until {
             None => true,
@@ -204,32 +214,32 @@
         }
     }
 
-    fn note_failure(&mut self, now: Instant) -> Option<Duration> {
-        self.failures += 1;
-        if self.failures < FAILURES_TO_EJECT {
+    fn record_failure(&mut self, now: Instant) -> Option<Duration> {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures < EJECTION_THRESHOLD {
             return None;
         }
-        let doublings = self.ejections.min(MOST_DOUBLINGS);
-        let pause = FIRST_EJECTION * 2u32.pow(doublings);
-        self.ejected_until = Some(now + pause);
+        let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
+        let ejection = FIRST_EJECTION * 2u32.pow(doublings);
+        self.ejected_until = Some(now + ejection);
         self.ejections += 1;
-        self.failures = 0;
-        Some(pause)
+        self.consecutive_failures = 0;
+        Some(ejection)
     }
 }
 
-/// Returns true if how long a request took tells how quick the upstream is.
-pub(crate) fn tells_time(returned: &Response) -> bool {
-    returned.is_success() && !returned.failed_below
+/// Returns true if the latency of the request tells how fast the upstream is.
+pub(crate) fn is_latency_sample(response: &Response) -> bool {
+    response.is_success() && !response.failed_below
 }
 
-/// Returns true if what became of a request speaks against the node itself, not its load.
-fn is_failure(returned: &Response) -> bool {
-    match returned.outcome {
-        Outcome::Done => returned.status >= 500 && !returned.failed_below,
-        Outcome::NotRun => match returned.reason {
+/// Returns true if the result indicates a failure of the node itself rather than of its load.
+fn is_failure(response: &Response) -> bool {
+    match response.outcome {
+        Outcome::Done => response.status >= 500 && !response.failed_below,
+        Outcome::NotRun => match response.reason {
             Reason::Overload | Reason::Quarantined | Reason::OnTrial => false,
-            _ => !returned.absent_below,
+            _ => !response.absent_below,
         },
         Outcome::Unknown => true,
     }
--- a/crates/mesh/src/routing/load/tests.rs
+++ b/crates/mesh/src/routing/load/tests.rs
@@ -1,4 +1,4 @@
-//! What speaks for and against a node.
+//! Comparison and ejection of nodes by their statistics.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -31,29 +31,34 @@
 fn failures_leave_it_out() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..4 {
-        assert!(load.note(now, CLASS, &failed(false)).is_none());
+        assert!(load.record(now, CLASS, &failed(false)).is_none());
     }
-    assert!(load.note(now, CLASS, &failed(false)).is_some(), "told once");
+    assert!(
+        load.record(now, CLASS, &failed(false)).is_some(),
+        "reported once"
+    );
     assert!(!load.is_available(now));
     assert!(load.is_available(now + Duration::from_secs(1)));
 }
 
-/// Whole services were gone when a service further down failed.
+/// Failures of a nested call must not eject the caller's node: when a service failed, all services
+/// that call it became unavailable.
 #[test]
 fn failures_below_do_not() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..50 {
-        load.note(now, CLASS, &failed(true));
+        load.record(now, CLASS, &failed(true));
     }
     assert!(load.is_available(now));
 }
 
-/// Whole services were gone when every upstream turned half of its requests away.
+/// Load shedding must not eject a node: when every upstream of a service shed half of its requests,
+/// the service became unavailable.
 #[test]
 fn turning_away_does_not() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..50 {
-        load.note(
+        load.record(
             now,
             CLASS,
             &Response::rejected_by_upstream(Reason::UpstreamShed),
@@ -67,18 +72,18 @@
     );
 }
 
-/// Returns what a request costs at a node whose upstream has 20 slots.
+/// Returns the cost of a request at a node whose upstream has 20 slots.
 fn cost(load: &PeerLoad, now: Instant) -> f64 {
     load.candidate(now, 20, CLASS, None)
         .cost(&Estimate::unknown(1.0))
 }
 
-/// Notes answers of a kind that took so long.
+/// Records a successful response with the given latency.
 fn answers(load: &mut PeerLoad, times: &mut Latencies, now: Instant, kind: &str, time: Duration) {
     let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()));
     let kind = kind.parse().expect("a name");
-    load.note(now, CLASS, &answer);
-    load.note_time(now, times, (CLASS, &kind), time, Some(&answer));
+    load.record(now, CLASS, &answer);
+    load.record_latency(now, times, (CLASS, &kind), time, Some(&answer));
 }
 
 #[test]
@@ -93,7 +98,7 @@
     assert!(cost(&slow, now) > cost(&quick, now) * 2.0);
 }
 
-/// A node that gets the long requests is not slow.
+/// Latencies are compared by kind of request: a node that gets the long ones is not slow.
 #[test]
 fn long_work_is_not_slow() {
     let (mut one, mut other, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
@@ -106,27 +111,28 @@
     assert!(one.slowness_and_pace(now).0 < other.slowness_and_pace(now).0 * 1.2);
 }
 
-/// A request that is given up on late shows that the node is slow, though no answer comes.
+/// A request abandoned after a long time shows that the node is slow, even without a response.
 #[test]
 fn given_up_is_slow() {
     let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
     let (mut times, kind) = (Latencies::default(), "read".parse().expect("a name"));
     for _ in 0..10 {
         answers(&mut quick, &mut times, now, "read", TIME);
-        slow.note_time(now, &mut times, (CLASS, &kind), TIME * 5, None);
+        slow.record_latency(now, &mut times, (CLASS, &kind), TIME * 5, None);
     }
     assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 2.0);
     let mut left = PeerLoad::default();
-    left.note_time(now, &mut times, (CLASS, &kind), TIME / 10, None);
+    left.record_latency(now, &mut times, (CLASS, &kind), TIME / 10, None);
     assert!(!left.is_known(), "a client that leaves early tells nothing");
 }
 
-/// A node whose upstream had crashed got nothing from anybody after it was back.
+/// A node that has recovered must get requests again: one whose upstream had crashed got none from
+/// any node.
 #[test]
 fn failures_fade() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
     for _ in 0..50 {
-        load.note(now, CLASS, &failed(false));
+        load.record(now, CLASS, &failed(false));
     }
     let sound = PeerLoad::default();
     assert!(cost(&load, now) > cost(&sound, now) * 10.0);
@@ -136,7 +142,8 @@
     assert!(load.is_available(now), "another upstream did not fail");
 }
 
-/// A node that was slow once got nothing any more by which it could show that it is quick.
+/// Measured latencies expire: a node that was slow once got no requests that show that it is fast
+/// again.
 #[test]
 fn times_are_forgotten() {
     let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
@@ -153,7 +160,7 @@
     assert!(!slow.is_known(), "another upstream was not slow");
 }
 
-/// The pace of an instance counts at once and not for long.
+/// The pace of an instance takes effect at once and expires soon.
 #[test]
 fn pace_counts() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
@@ -163,7 +170,7 @@
     assert!(slowness(Duration::from_secs(2)) < 1.01);
 }
 
-/// A node that is not heard from is taken to be as full as the others of its side.
+/// A node without recent reports is assumed to be as full as the others of its group.
 #[test]
 fn silence_is_not_room() {
     let (levels, now) = (Rc::<RefCell<Levels>>::default(), Instant::now());
@@ -179,7 +186,7 @@
     assert!(silent.candidate(later, 20, CLASS, None).pressure > 0.9);
 }
 
-/// What matters less gives way in the queue: a node that is full for it has room for the rest.
+/// Less important requests yield in the queue: a node that is full for them has room for others.
 #[test]
 fn full_for_what_matters_less() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
@@ -188,13 +195,13 @@
         pressure: Pressure(1.8),
         ..Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()))
     };
-    load.note(now, low, &full);
+    load.record(now, low, &full);
     load.record_report(now, 100, None);
     assert!(load.candidate(now, 20, low, None).pressure > 1.7);
     assert!(load.candidate(now, 20, CLASS, None).pressure < 1.1);
 }
 
-/// A node that holds a kind back, as a service further down is gone, is sound itself.
+/// A node that rejects a kind of request because a nested service is unavailable has not failed.
 #[test]
 fn held_back_is_sound() {
     let (mut load, now) = (PeerLoad::default(), Instant::now());
@@ -203,7 +210,7 @@
             absent_below: true,
             ..Response::refused(Reason::NoUpstream)
         };
-        load.note(now, CLASS, &held);
+        load.record(now, CLASS, &held);
     }
     assert!(load.is_available(now));
 }
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Chooses which upstream of a service gets a request.
+//! Selects the target of each request among the upstreams of a service.
 
 mod load;
 mod statistics;
@@ -15,7 +15,7 @@
 use sailtrack_quarantine::Identity;
 use sailtrack_units::{Class, KindName, NodeName, ServiceName};
 
-use load::tells_time;
+use load::is_latency_sample;
 pub(crate) use load::{Levels, PeerLoad};
 use statistics::History;
 pub(crate) use statistics::Statistics;
@@ -25,17 +25,17 @@
 use crate::peer::{Group, Link, Peers};
 use crate::request::{Request, Response};
 
-/// Where a request goes.
+/// The target of a request.
 #[derive(Clone)]
 pub(crate) enum Target {
-    /// To the own upstream.
+    /// The own upstream.
     Local,
-    /// To the upstream beside another node.
+    /// The upstream of another node.
     Remote(Rc<Link>),
 }
 
 impl Target {
-    /// Returns the name of the node, which is this one if the target is local.
+    /// Returns the name of the target node, which is `own` if the target is local.
     pub(crate) fn name<'a>(&'a self, own: &'a NodeName) -> &'a NodeName {
         match self {
             Self::Local => own,
@@ -44,16 +44,16 @@
     }
 }
 
-/// Chooses which upstream of a service gets a request.
+/// Selects the target of each request.
 pub(crate) struct Routing {
     pub(crate) name: NodeName,
     pub(crate) service: ServiceName,
     pub(crate) peers: Rc<Peers>,
     pub(crate) upstream: Rc<Upstream>,
     pub(crate) admission: Rc<Admission>,
-    /// What is known about the own upstream.
+    /// Load and latency of the own upstream.
     pub(crate) local_load: Rc<RefCell<PeerLoad>>,
-    /// What is known about services.
+    /// Latencies and recent selections of each service.
     pub(crate) statistics: Statistics,
     pub(crate) metrics: Rc<Metrics>,
 }
@@ -63,83 +63,87 @@
 }
 
 impl Routing {
-    /// Returns where a request goes, leaving out the nodes that were tried.
+    /// Selects a target, excluding the nodes that were already tried.
     ///
-    /// Nodes that failed lately are left out too, unless there is no other one.
-    pub(crate) fn choose(&self, work: &Request, tried: &[NodeName]) -> Option<Target> {
+    /// Ejected nodes are excluded too, unless no other one is left.
+    pub(crate) fn choose(&self, request: &Request, tried: &[NodeName]) -> Option<Target> {
         let now = Instant::now();
-        let placed = self.peers.for_service(&work.service).unwrap_or_default();
-        let history = self.statistics.of(&work.service);
-        let is_own = self.takes(&work.service, tried, now);
-        let need = history
-            .times
+        let group = self.peers.for_service(&request.service).unwrap_or_default();
+        let history = self.statistics.of(&request.service);
+        let own_is_available = self.is_own_available(&request.service, tried, now);
+        let estimate = history
+            .latencies
             .borrow()
-            .estimate(&work.kind, work.time_left());
-        let levels = [&placed.same_domain_levels, &placed.other_domain_levels];
-        let levels = levels.map(|levels| levels.borrow().at(now, work.class));
-        let sides = Candidates {
-            // The own upstream comes after the other near ones.
-            same_domain: placed.same_domain.len() + usize::from(is_own),
-            other_domains: placed.other_domains.len(),
-            lookup: |side, place| match link(&placed, side, place) {
-                Some(link) => look(link, work.class, tried, now),
-                None => Some(self.look_at_own(work.class, now)),
+            .estimate(&request.kind, request.time_left());
+        let levels = [&group.same_domain_levels, &group.other_domain_levels];
+        let levels = levels.map(|levels| levels.borrow().at(now, request.class));
+        let candidates = Candidates {
+            // The own upstream comes after the other ones of the same failure domain.
+            same_domain: group.same_domain.len() + usize::from(own_is_available),
+            other_domains: group.other_domains.len(),
+            lookup: |locality, index| match link(&group, locality, index) {
+                Some(link) => candidate(link, request.class, tried, now),
+                None => Some(self.own_candidate(request.class, now)),
             },
             pressure_gap: levels[0] - levels[1],
-            shortlist: &history.recent,
+            shortlist: &history.shortlist,
         };
-        let (side, place) = choose(&sides, &need, &mut rand::rng())?;
-        if side == Locality::OtherDomain && sides.same_domain > 0 {
-            self.metrics.note_left_domain(&work.service);
+        let (locality, index) = choose(&candidates, &estimate, &mut rand::rng())?;
+        if locality == Locality::OtherDomain && candidates.same_domain > 0 {
+            self.metrics.note_left_domain(&request.service);
         }
-        let link = link(&placed, side, place);
+        let link = link(&group, locality, index);
         Some(link.map_or(Target::Local, |link| Target::Remote(Rc::clone(link))))
     }
 
-    /// Returns where a request goes that may end what runs it: to the same upstream whichever node
-    /// sends it, and to another one after that has ended.
+    /// Selects the target of a request suspected of crashing upstreams: all nodes choose the same
+    /// upstream for it, and the same next one after that has crashed (rendezvous hashing).
     ///
-    /// Sent by load alone, requests that were lost together would mostly meet again.
-    pub(crate) fn preferred(
+    /// If such requests were balanced by load, those that crashed an upstream together would mostly
+    /// be retried together.
+    pub(crate) fn choose_by_identity(
         &self,
         service: &ServiceName,
         tried: &[NodeName],
         identity: &Identity,
     ) -> Option<Target> {
-        let placed = self.peers.for_service(service).unwrap_or_default();
-        let links = placed.same_domain.iter().chain(&placed.other_domains);
+        let group = self.peers.for_service(service).unwrap_or_default();
+        let links = group.same_domain.iter().chain(&group.other_domains);
         let remote = links
             .filter(|link| is_usable(link, tried))
             .map(|link| Target::Remote(Rc::clone(link)));
-        let is_own = self.takes(service, tried, Instant::now());
-        let all = is_own.then_some(Target::Local).into_iter().chain(remote);
+        let own_is_available = self.is_own_available(service, tried, Instant::now());
+        let all = own_is_available
+            .then_some(Target::Local)
+            .into_iter()
+            .chain(remote);
         all.max_by_key(|target| identity.preference(target.name(&self.name).as_str()))
     }
 
-    /// Notes that a request goes to a target; the guard notes its end.
-    pub(crate) fn begin(&self, work: &Request, target: &Target) -> Outstanding {
+    /// Records that a request is sent to a target; the guard records its end.
+    pub(crate) fn start(&self, request: &Request, target: &Target) -> InFlight {
         let owner = match target {
             Target::Local => Owner::Local(Rc::clone(&self.local_load)),
             Target::Remote(link) => Owner::Remote(Rc::clone(link)),
         };
         owner.with(|load| load.outstanding += 1);
-        Outstanding {
+        InFlight {
             owner,
-            history: self.statistics.of(&work.service),
-            class: work.class,
-            kind: work.kind.clone(),
-            began: Instant::now(),
-            is_noted: Cell::new(false),
+            history: self.statistics.of(&request.service),
+            class: request.class,
+            kind: request.kind.clone(),
+            started: Instant::now(),
+            is_recorded: Cell::new(false),
         }
     }
 
-    /// Returns true if the own upstream may get a request to a service.
-    fn takes(&self, service: &ServiceName, tried: &[NodeName], now: Instant) -> bool {
-        let is_own = *service == self.service && !tried.contains(&self.name);
-        is_own && self.upstream.ready(now).is_some()
+    /// Returns true if the own upstream can be the target of a request to a service.
+    fn is_own_available(&self, service: &ServiceName, tried: &[NodeName], now: Instant) -> bool {
+        let is_eligible = *service == self.service && !tried.contains(&self.name);
+        is_eligible && self.upstream.ready(now).is_some()
     }
 
-    fn look_at_own(&self, class: Class, now: Instant) -> Candidate {
+    fn own_candidate(&self, class: Class, now: Instant) -> Candidate {
         let pressure = self.admission.pressure(now, class);
         let slots = self.upstream.slots();
         let local = self.local_load.borrow();
@@ -147,11 +151,11 @@
     }
 }
 
-/// Returns the link in a place, or nothing for the own upstream.
-fn link(placed: &Group, side: Locality, place: usize) -> Option<&Rc<Link>> {
-    match side {
-        Locality::SameDomain => placed.same_domain.get(place),
-        Locality::OtherDomain => placed.other_domains.get(place),
+/// Returns the link at an index, or `None` for the own upstream.
+fn link(group: &Group, locality: Locality, index: usize) -> Option<&Rc<Link>> {
+    match locality {
+        Locality::SameDomain => group.same_domain.get(index),
+        Locality::OtherDomain => group.other_domains.get(index),
     }
 }
 
@@ -159,13 +163,13 @@
     link.is_serving() && !tried.contains(&link.member.name)
 }
 
-fn look(link: &Link, class: Class, tried: &[NodeName], now: Instant) -> Option<Candidate> {
+fn candidate(link: &Link, class: Class, tried: &[NodeName], now: Instant) -> Option<Candidate> {
     let load = || link.load.borrow();
     let candidate = || load().candidate(now, link.slots(), class, None);
     is_usable(link, tried).then(candidate)
 }
 
-/// Who keeps what is known of the load of a target.
+/// Holds the load statistics of a target.
 enum Owner {
     Local(Rc<RefCell<PeerLoad>>),
     Remote(Rc<Link>),
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Returns the name of the node for the log.
+    /// Returns the name of the node for log events.
     fn name(&self) -> &str {
         match self {
             Self::Local(_) => "own",
@@ -188,47 +192,56 @@
     }
 }
 
-/// A request that is on its way to a target.
-pub(crate) struct Outstanding {
+/// A request in flight to a target.
+pub(crate) struct InFlight {
     owner: Owner,
     history: Rc<History>,
     class: Class,
     kind: KindName,
-    began: Instant,
-    is_noted: Cell<bool>,
+    started: Instant,
+    is_recorded: Cell<bool>,
 }
 
-impl Outstanding {
-    /// Notes what became of the request.
-    pub(crate) fn note(&self, returned: &Response) {
-        self.is_noted.set(true);
+impl InFlight {
+    /// Records the result of the request.
+    pub(crate) fn record(&self, response: &Response) {
+        self.is_recorded.set(true);
         let now = Instant::now();
-        let pause = self.owner.with(|load| load.note(now, self.class, returned));
-        if let Some(pause) = pause {
+        let ejection = self
+            .owner
+            .with(|load| load.record(now, self.class, response));
+        if let Some(ejection) = ejection {
             let node = self.owner.name();
             let fields: [(&str, &dyn Display); 2] =
-                [("node", &node), ("for_ms", &pause.as_millis())];
+                [("node", &node), ("for_ms", &ejection.as_millis())];
             emit(&catalogue::NODE_LEFT_OUT, &fields);
         }
-        if tells_time(returned) {
-            self.learn(Some(returned));
+        if is_latency_sample(response) {
+            self.record_latency(Some(response));
         }
     }
 
-    fn learn(&self, returned: Option<&Response>) {
+    fn record_latency(&self, response: Option<&Response>) {
         let now = Instant::now();
-        let time = now.saturating_duration_since(self.began);
-        let mut times = self.history.times.borrow_mut();
-        self.owner
-            .with(|load| load.note_time(now, &mut times, (self.class, &self.kind), time, returned));
+        let time = now.saturating_duration_since(self.started);
+        let mut latencies = self.history.latencies.borrow_mut();
+        self.owner.with(|load| {
+            load.record_latency(
+                now,
+                &mut latencies,
+                (self.class, &self.kind),
+                time,
+                response,
+            );
+        });
     }
 }
 
-impl Drop for Outstanding {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        if !self.is_noted.get() {
-            // Nobody waits any longer; how long it took so far tells something all the same.
-            self.learn(None);
+        if !self.is_recorded.get() {
+            // The caller no longer waits; the elapsed time is still a lower bound of the latency.
+            self.record_latency(None);
         }
         self.owner.with(|load| load.outstanding -= 1);
     }
--- a/crates/mesh/src/routing/statistics.rs
+++ b/crates/mesh/src/routing/statistics.rs
@@ -1,4 +1,4 @@
-//! What a node has learned about the services that it sends requests to.
+//! Statistics about the services to which this node sends requests.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,32 +7,32 @@
 use sailtrack_placement::{Latencies, Shortlist};
 use sailtrack_units::ServiceName;
 
-/// The most services of which something is remembered, many times those of a deployment.
-const MOST_SERVICES: usize = 512;
+/// The most services for which statistics are kept, many times as many as a deployment has.
+const MAX_SERVICES: usize = 512;
 
-/// What is known of one service.
+/// The statistics of one service.
 #[derive(Default)]
 pub(crate) struct History {
-    /// How long its answers take, by kind.
-    pub(crate) times: RefCell<Latencies>,
-    /// Which of its upstreams were the best lately.
-    pub(crate) recent: Shortlist,
+    /// Latencies by kind of request.
+    pub(crate) latencies: RefCell<Latencies>,
+    /// Upstreams recently selected as the best ones.
+    pub(crate) shortlist: Shortlist,
 }
 
-/// What is known of the services.
+/// The statistics of all services.
 #[derive(Default)]
 pub(crate) struct Statistics {
     services: RefCell<HashMap<ServiceName, Rc<History>>>,
 }
 
 impl Statistics {
-    /// Returns what is known of a service.
+    /// Returns the statistics of a service, which are created if there are none.
     pub(crate) fn of(&self, service: &ServiceName) -> Rc<History> {
         let mut services = self.services.borrow_mut();
         if let Some(history) = services.get(service) {
             return Rc::clone(history);
         }
-        if services.len() >= MOST_SERVICES {
+        if services.len() >= MAX_SERVICES {
             services.clear();
         }
         let history = Rc::<History>::default();
