--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Brings a request to an answer: chooses upstreams and tries again within bounds.
+//! Dispatches requests: selects upstreams and retries within bounds.
 
 #[cfg(test)]
 mod tests;
@@ -29,15 +29,16 @@
 use crate::routing::{Routing, Target};
 use crate::wake::Wake;
 
-/// How often a request that no upstream has seen is brought elsewhere.
-const MOST_REDIRECTS: u32 = 2;
-/// How often a request that upstreams turned away is sent to another one, within the budget. An
-/// upstream that turns away half of its requests lets 31 in 32 in at the fifth try.
-const MOST_TURNED_AWAY: u32 = 4;
-/// How often a node that may stand still is looked at while it works on a request.
-const SILENCE_LOOK: Duration = Duration::from_millis(250);
+/// The most times a request that could not be sent to its target is redirected to another one.
+const MAX_REDIRECTS: u32 = 2;
+/// The most times a request rejected by an upstream is sent to another one, within the retry
+/// budget. If each upstream rejects half of its requests, 31 of 32 requests are accepted by the
+/// fifth attempt.
+const MAX_REJECTIONS: u32 = 4;
+/// How often the liveness of the target node is checked while it runs an idempotent request.
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Brings requests to an answer.
+/// Dispatches requests to upstreams until there is a final response.
 pub(crate) struct Dispatcher {
     pub(crate) routing: Rc<Routing>,
     pub(crate) gate: Rc<Gate>,
@@ -53,7 +54,7 @@
     const NAME: &'static str = "dispatcher";
 }
 
-/// Which way a request went, for the log; it is known also when the time ran out on the way.
+/// The path of a request, for log events; also available after its deadline has passed.
 #[derive(Debug, Default)]
 pub(crate) struct Trail {
     identity: Cell<Option<Identity>>,
@@ -62,195 +63,206 @@
 }
 
 impl Trail {
-    /// Returns the node that had it last.
+    /// Returns the node to which the request was sent last.
     pub(crate) fn node(&self) -> Option<NodeName> {
         self.node.borrow().clone()
     }
 
-    /// Returns what it asks, once all of it has come.
+    /// Returns the identity of the request, once its body has been read.
     pub(crate) fn identity(&self) -> Option<Identity> {
         self.identity.get()
     }
 
-    /// Notes what it asks.
-    pub(crate) fn identify(&self, identity: Identity) {
+    /// Sets the identity of the request.
+    pub(crate) fn set_identity(&self, identity: Identity) {
         self.identity.set(Some(identity));
     }
 
-    /// Returns how often it was brought to a node.
+    /// Returns how many times the request was sent to a node.
     pub(crate) fn tries(&self) -> u32 {
         self.tries.get()
     }
 
-    fn note(&self, node: &NodeName) {
+    fn record(&self, node: &NodeName) {
         self.node.replace(Some(node.clone()));
         self.tries.set(self.tries.get() + 1);
     }
 }
 
-/// What has been tried for one request.
+/// The attempts made for one request.
 #[derive(Default)]
-struct Tries {
+struct Attempts {
     nodes: Vec<NodeName>,
-    /// How many upstreams it may have run on.
-    ran_on: u32,
-    /// How often an upstream turned it away without running it.
-    turned_away: u32,
-    /// How often it was brought elsewhere without having been sent.
+    /// The number of upstreams on which the request may have run.
+    executions: u32,
+    /// The number of times an upstream rejected the request without running it.
+    rejections: u32,
+    /// The number of times the request was redirected without having been sent.
     redirects: u32,
-    /// The first end after which it may have run; no later refusal can say that it did not.
-    ran: Option<Response>,
+    /// The first response after which the request may have run; no later refusal can prove
+    /// otherwise.
+    executed: Option<Response>,
 }
 
 impl Dispatcher {
-    /// Brings a request to its final answer; dropping the future cancels it.
+    /// Dispatches a request and returns its final response; dropping the future cancels it.
     pub(crate) async fn dispatch(
         &self,
-        mut work: Request,
+        mut request: Request,
         route: &Route,
         trail: &Trail,
     ) -> Response {
-        let mut tries = Tries::default();
+        let mut attempts = Attempts::default();
         let mut last = None;
         self.wake.news().await;
-        self.budget.record_request(&work, clock::now());
+        self.budget.record_request(&request, clock::now());
         loop {
-            // What is held against it may have become known while it ran.
-            let standing = self.quarantine.standing(&work.identity);
+            // A quarantine may have been reported while the previous attempt ran.
+            let standing = self.quarantine.standing(&request.identity);
             if standing.is_quarantined() {
                 last = Some(Response::refused(Reason::Quarantined));
                 break;
             }
-            work.known_crashes = standing.known_crashes();
-            let Some(target) = self.choose(&work, standing, &mut tries) else {
+            request.known_crashes = standing.known_crashes();
+            let Some(target) = self.choose(&request, standing, &mut attempts) else {
                 break;
             };
-            trail.note(target.name(&self.routing.name));
-            let returned = self.attempt(&work, &target).await;
-            let goes_on = self.goes_on(&work, route, &returned, &mut tries);
-            if !goes_on {
-                return conclude(tries.ran, Some(more_telling(last, returned)));
+            trail.record(target.name(&self.routing.name));
+            let response = self.send(&request, &target).await;
+            let may_retry = self.may_retry(&request, route, &response, &mut attempts);
+            if !may_retry {
+                return final_response(attempts.executed, Some(more_informative(last, response)));
             }
             let name = target.name(&self.routing.name);
-            self.events.note_retry(&work.attempt, name, &returned);
-            if returned.was_sent {
-                self.metrics.note_repeat(&work.service);
+            self.events.note_retry(&request.attempt, name, &response);
+            if response.was_sent {
+                self.metrics.note_repeat(&request.service);
             }
-            tries.nodes.push(name.clone());
-            work.is_retry |= returned.was_sent;
-            if returned.outcome == Outcome::NotRun {
-                last = Some(more_telling(last, returned));
-            } else if tries.ran.is_none() {
-                tries.ran = Some(returned);
+            attempts.nodes.push(name.clone());
+            request.is_retry |= response.was_sent;
+            if response.outcome == Outcome::NotRun {
+                last = Some(more_informative(last, response));
+            } else if attempts.executed.is_none() {
+                attempts.executed = Some(response);
             }
         }
-        conclude(tries.ran, last)
+        final_response(attempts.executed, last)
     }
 
-    /// Returns where the request goes next; upstreams that turned it away are asked again when
-    /// no other one is left.
-    fn choose(&self, work: &Request, standing: Standing, tries: &mut Tries) -> Option<Target> {
+    /// Selects the next target. Upstreams that rejected the request are tried again when no other
+    /// one is left.
+    fn choose(
+        &self,
+        request: &Request,
+        standing: Standing,
+        attempts: &mut Attempts,
+    ) -> Option<Target> {
         if standing != Standing::Clear {
-            return self
-                .routing
-                .preferred(&work.service, &tries.nodes, &work.identity);
+            return self.routing.choose_by_identity(
+                &request.service,
+                &attempts.nodes,
+                &request.identity,
+            );
         }
-        let target = self.routing.choose(work, &tries.nodes);
-        if target.is_some() || tries.turned_away == 0 || tries.ran.is_some() {
+        let target = self.routing.choose(request, &attempts.nodes);
+        if target.is_some() || attempts.rejections == 0 || attempts.executed.is_some() {
             return target;
         }
-        tries.nodes.clear();
-        self.routing.choose(work, &tries.nodes)
+        attempts.nodes.clear();
+        self.routing.choose(request, &attempts.nodes)
     }
 
-    /// Returns true if the request may be sent to one more upstream.
-    fn goes_on(
+    /// Returns true if the request may be sent to another target.
+    fn may_retry(
         &self,
-        work: &Request,
+        request: &Request,
         route: &Route,
-        returned: &Response,
-        tries: &mut Tries,
+        response: &Response,
+        attempts: &mut Attempts,
     ) -> bool {
-        let is_held_back = matches!(returned.reason, Reason::Quarantined | Reason::OnTrial);
-        if returned.is_success() || is_held_back || work.time_left().is_zero() {
+        let is_restricted = matches!(response.reason, Reason::Quarantined | Reason::OnTrial);
+        if response.is_success() || is_restricted || request.time_left().is_zero() {
             return false;
         }
-        if !returned.was_sent {
-            tries.redirects += 1;
-            return tries.redirects <= MOST_REDIRECTS;
+        if !response.was_sent {
+            attempts.redirects += 1;
+            return attempts.redirects <= MAX_REDIRECTS;
         }
-        let may_go_on = if returned.outcome == Outcome::NotRun {
-            tries.turned_away += 1;
-            tries.turned_away <= MOST_TURNED_AWAY
+        let is_allowed = if response.outcome == Outcome::NotRun {
+            attempts.rejections += 1;
+            attempts.rejections <= MAX_REJECTIONS
         } else {
-            tries.ran_on += 1;
-            work.idempotent && !is_hopeless(returned) && tries.ran_on < route.attempts
+            attempts.executions += 1;
+            request.idempotent && !is_retry_futile(response) && attempts.executions < route.attempts
         };
         let nodes = self.directory.len() + 1;
-        may_go_on && self.budget.try_acquire(work, clock::now(), nodes)
+        is_allowed && self.budget.try_acquire(request, clock::now(), nodes)
     }
 
-    async fn attempt(&self, work: &Request, target: &Target) -> Response {
-        let outstanding = self.routing.begin(work, target);
-        let returned = match target {
-            Target::Local => self.gate.run(work.clone()).await,
-            Target::Remote(link) => attempt_remote(work, link).await,
+    async fn send(&self, request: &Request, target: &Target) -> Response {
+        let in_flight = self.routing.start(request, target);
+        let response = match target {
+            Target::Local => self.gate.run(request.clone()).await,
+            Target::Remote(link) => send_remote(request, link).await,
         };
-        outstanding.note(&returned);
-        returned
+        in_flight.record(&response);
+        response
     }
 }
 
-/// Returns true if a request that failed would fail again.
+/// Returns true if retrying a failed request is futile.
 ///
-/// A failure further down was repeated there as far as that helps; the whole request would make
-/// all its calls again. An upstream whose requests wait is no reason: one lost answer in five
-/// calls of a request loses all of them, and while demand is high requests always wait somewhere.
-fn is_hopeless(returned: &Response) -> bool {
-    returned.failed_below || returned.path_pressure >= Pressure::OVERLOADED
+/// A failed nested call has already been retried as far as that helps, and retrying the whole
+/// request would repeat all its calls. Queueing at an upstream is no reason to give up: if one call
+/// in five loses its response, a request with five calls usually fails, and under high load
+/// requests always queue somewhere.
+fn is_retry_futile(response: &Response) -> bool {
+    response.failed_below || response.path_pressure >= Pressure::OVERLOADED
 }
 
-/// Returns which of two ends the caller is told of.
+/// Returns the response that is more informative for the caller.
 ///
-/// A full upstream stays the reason if the next node that was asked has none: it tells when to
-/// come back, and the services above that they begin too much.
-fn more_telling(before: Option<Response>, returned: Response) -> Response {
-    let is_room =
-        |returned: &Response| matches!(returned.reason, Reason::Overload | Reason::UpstreamShed);
-    match before {
-        Some(before)
-            if returned.outcome == Outcome::NotRun && !is_room(&returned) && is_room(&before) =>
+/// Overload is still reported if the next node that was tried has no upstream: its response has a
+/// useful retry delay and tells the calling services to reduce their load.
+fn more_informative(previous: Option<Response>, response: Response) -> Response {
+    let is_overload =
+        |response: &Response| matches!(response.reason, Reason::Overload | Reason::UpstreamShed);
+    match previous {
+        Some(previous)
+            if response.outcome == Outcome::NotRun
+                && !is_overload(&response)
+                && is_overload(&previous) =>
         {
-            before
+            previous
         }
-        _ => returned,
+        _ => response,
     }
 }
 
-/// Returns what is true of a request after its last attempt.
-fn conclude(ran: Option<Response>, last: Option<Response>) -> Response {
-    match (ran, last) {
-        (Some(ran), Some(last)) if last.outcome == Outcome::NotRun => ran,
+/// Returns the final response after the last attempt.
+fn final_response(executed: Option<Response>, last: Option<Response>) -> Response {
+    match (executed, last) {
+        (Some(executed), Some(last)) if last.outcome == Outcome::NotRun => executed,
         (_, Some(last)) => last,
-        (Some(ran), None) => ran,
+        (Some(executed), None) => executed,
         (None, None) => {
             Response::refused(Reason::NoUpstream).with_retry_after(retry_after::no_upstream())
         }
     }
 }
 
-async fn attempt_remote(work: &Request, link: &Link) -> Response {
-    if !work.idempotent {
-        return match link.forward(work).await {
-            Delivery::Answered(returned) => returned,
+async fn send_remote(request: &Request, link: &Link) -> Response {
+    if !request.idempotent {
+        return match link.forward(request).await {
+            Delivery::Answered(response) => response,
             Delivery::Unsent => Response::refused(Reason::Connection),
-            Delivery::Lost(life) => link.recall(&work.attempt, life).await,
+            Delivery::Lost(incarnation) => link.recall(&request.attempt, incarnation).await,
         };
     }
-    let forward = std::pin::pin!(link.forward(work));
+    let forward = std::pin::pin!(link.forward(request));
     let silence = std::pin::pin!(wait_for_silence(link));
     match select(forward, silence).await {
-        Either::Left((Delivery::Answered(returned), _)) => returned,
+        Either::Left((Delivery::Answered(response), _)) => response,
         Either::Left((Delivery::Unsent, _)) => Response::refused(Reason::Connection),
         Either::Left((Delivery::Lost(_), _)) | Either::Right(_) => {
             Response::unknown(Reason::Connection)
@@ -258,9 +270,9 @@
     }
 }
 
-/// Waits until nothing has come from the node for too long.
+/// Waits until the node has been silent for too long.
 async fn wait_for_silence(link: &Link) {
     while !link.is_silent() {
-        sleep(SILENCE_LOOK).await;
+        sleep(LIVENESS_CHECK_INTERVAL).await;
     }
 }
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -140,7 +140,7 @@
 
 /// Dispatches a request to an upstream; dropping the future cancels it.
 async fn run(entry: &Entry, incoming: &Incoming, payload: Payload, trail: &Trail) -> Response {
-    trail.identify(payload.identity);
+    trail.set_identity(payload.identity);
     let Some(service) = entry.splitter.next(&incoming.route) else {
         return Response::refused(Reason::NoUpstream);
     };
--- a/crates/mesh/src/request.rs
+++ b/crates/mesh/src/request.rs
@@ -146,7 +146,7 @@
         is_absent || (self.absent_below && !self.is_success())
     }
 
-    /// Returns the pressure on the path of the request, at least [`Pressure::REFUSING`] if it was
+    /// Returns the pressure on the path of the request, at least [`Pressure::OVERLOADED`] if it was
     /// refused for overload.
     ///
     /// A refusal by the upstream itself does not count as overload: the gate admits no more
