--- a/crates/mesh/src/entry/admission.rs
+++ b/crates/mesh/src/entry/admission.rs
@@ -52,9 +52,9 @@
         let Some(limited) = workspace.filter(|workspace| workspace.limit.is_some()) else {
             return Ok(None);
         };
-        let (reason, after) = match self.quotas.admit(&limited.name).await {
+        let (reason, after) = match self.quotas.acquire(&limited.name).await {
             Ok(token) => return Ok(Some(token)),
-            Err(Shortage::Over(after)) => (Reason::OverQuota, after),
+            Err(Shortage::Exhausted(after)) => (Reason::OverQuota, after),
             Err(Shortage::NoAllocator) => (Reason::QuotaNotKnown, retry_after::outage()),
         };
         Err(Response::refused(reason).with_retry_after(after))
--- a/crates/mesh/src/quota/election.rs
+++ b/crates/mesh/src/quota/election.rs
@@ -1,8 +1,8 @@
-//! The term of the node that keeps the tokens of its failure domain.
+//! Elects the token allocator of a failure domain.
 //!
-//! The first of the nodes that hear from each other takes it, by a lease in
-//! the store, so that there are never two in one domain. With each renewal it
-//! tells the demand there and moves the domain's parts of the limits.
+//! The first of the connected nodes acquires the role by a lease in the store, so that a domain
+//! never has two allocators. Each renewal reports the demand of the domain and adjusts its shares
+//! of the limits.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -26,36 +26,36 @@
 use crate::watch::Watch;
 
 /// The key of the row in its table.
-const ROW: &str = "parts";
-/// How often a node looks whether there is something to do.
-const LOOK: Duration = Duration::from_millis(250);
-/// How often the lease is renewed: a renewal costs two calls of the store and moves the parts.
-const RENEWAL: Duration = Duration::from_millis(1500);
-/// The pause after a renewal that failed, up to twice as long.
-const PAUSE: Duration = Duration::from_millis(200);
-/// How long a node waits after its start before it takes the role: until it has met the others.
-const MEETING_TIME: Duration = Duration::from_millis(1200);
-/// How much longer each further node waits, in the order of their places.
-const ORDER_PAUSE: Duration = Duration::from_millis(500);
+const ROW_KEY: &str = "parts";
+/// How often a node checks whether the lease has to be acquired or renewed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the lease is renewed: a renewal costs two store operations and adjusts the shares.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1500);
+/// The shortest pause after a failed attempt; the longest is twice this.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How long a node waits after its start, to connect to its peers, before it may acquire the lease.
+const STARTUP_DELAY: Duration = Duration::from_millis(1200);
+/// The additional wait of each node, multiplied by its position in the order of candidates.
+const PRIORITY_DELAY: Duration = Duration::from_millis(500);
 
-/// Why a node could not become the allocator, or stay it.
+/// Why a node could not become or remain the allocator.
 #[derive(Debug, Display)]
-enum RoleError {
-    /// the store failed: {0}
+enum ElectionError {
+    /// store error: {0}
     Store(StoreError),
-    /// another node of the domain has it: {0}
+    /// another node of the failure domain holds the lease: {0}
     Held(sailtrack_units::NodeName),
-    /// the row cannot be read: {0}
+    /// unreadable row: {0}
     Row(String),
-    /// the store does not tell its time
+    /// the store does not report its time
     NoTime,
-    /// the node stops
+    /// the node is stopping
     Stopping,
 }
 
-impl std::error::Error for RoleError {}
+impl std::error::Error for ElectionError {}
 
-/// Takes and keeps the role, for as long as the task lives.
+/// Acquires and renews the lease of the token allocator.
 pub(crate) struct Election {
     pub(crate) quotas: Rc<Quotas>,
     pub(crate) peers: Rc<Peers>,
@@ -63,13 +63,13 @@
     pub(crate) status: Rc<Status>,
     pub(crate) store: Rc<dyn Store>,
     pub(crate) started: Instant,
-    /// When the lease was renewed last.
+    /// When the lease was last renewed.
     pub(crate) last_renewal: Cell<Option<Instant>>,
-    /// Since when no allocator is heard of.
+    /// Since when no allocator of the domain is known.
     pub(crate) missing_since: Cell<Option<Instant>>,
-    /// Since when the row cannot be read.
+    /// Since when the row has been unreadable.
     pub(crate) unreadable_since: Cell<Option<Instant>>,
-    /// The node stops and takes the role no more.
+    /// The node is stopping and no longer tries to acquire the lease.
     pub(crate) has_resigned: Cell<bool>,
 }
 
@@ -78,46 +78,46 @@
 }
 
 impl Election {
-    /// Takes the role when nobody has it, and renews the lease in time.
+    /// Acquires the lease when no other node holds it, and renews it in time.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
             if !self.is_due() {
                 continue;
             }
             match self.claim().await {
-                Ok(lease) => self.note_lease(&lease),
+                Ok(lease) => self.record_lease(&lease),
                 Err(error) => {
-                    self.note_error(&error);
-                    sleep(PAUSE.mul_f64(rand::rng().random_range(1.0..2.0))).await;
+                    self.log_error(&error);
+                    sleep(RETRY_PAUSE.mul_f64(rand::rng().random_range(1.0..2.0))).await;
                 }
             }
         }
     }
 
-    /// Gives the role up, so that another node can take it at once.
+    /// Releases the lease, so that another node can acquire it at once.
     pub(crate) async fn resign(&self) {
         self.has_resigned.set(true);
         let was_allocator = self.quotas.is_allocator();
-        self.leave();
+        self.step_down();
         if !was_allocator {
             return;
         }
         if let Err(error) = self.release().await {
-            self.note_error(&error);
+            self.log_error(&error);
         }
     }
 
     fn is_due(&self) -> bool {
-        if self.has_resigned.get() || !self.quotas.is_needed() {
+        if self.has_resigned.get() || !self.quotas.has_limits() {
             return false;
         }
         if self.quotas.is_allocator() {
-            let renewed = self.last_renewal.get();
-            let is_old = renewed.is_none_or(|renewed| renewed.elapsed() >= RENEWAL);
-            return is_old || self.quotas.is_part_missing.get();
+            let last_renewal = self.last_renewal.get();
+            let is_old = last_renewal.is_none_or(|renewed| renewed.elapsed() >= RENEWAL_INTERVAL);
+            return is_old || self.quotas.is_share_missing.get();
         }
-        self.leave();
+        self.step_down();
         let domain = &self.quotas.node.domain;
         if self.peers.allocator_of(domain).is_some() {
             self.missing_since.set(None);
@@ -125,13 +125,13 @@
         }
         let missing = self.missing_since.get().unwrap_or_else(Instant::now);
         self.missing_since.set(Some(missing));
-        let before = u32::try_from(self.watch.ahead_count()).unwrap_or(u32::MAX);
-        self.started.elapsed() >= MEETING_TIME
-            && missing.elapsed() >= ORDER_PAUSE.saturating_mul(before)
+        let ahead = u32::try_from(self.watch.ahead_count()).unwrap_or(u32::MAX);
+        self.started.elapsed() >= STARTUP_DELAY
+            && missing.elapsed() >= PRIORITY_DELAY.saturating_mul(ahead)
     }
 
-    /// Stops to give tokens; it is told at once.
-    fn leave(&self) {
+    /// Stops allocating tokens and notifies the peers.
+    fn step_down(&self) {
         let term = self.quotas.term.take();
         if let Some(term) = term {
             self.last_renewal.set(None);
@@ -141,10 +141,10 @@
         }
     }
 
-    async fn claim(&self) -> Result<Lease, RoleError> {
-        let asked = clock::now();
+    async fn claim(&self) -> Result<Lease, ElectionError> {
+        let requested_at = clock::now();
         let (mut shares, version, now) = self.read().await?;
-        let claim = self.say();
+        let claim = self.build_claim();
         let own = &self.quotas.node;
         let is_gone = |lease: &Lease| {
             let is_own = lease.holder == own.name && lease.incarnation != own.incarnation.0;
@@ -153,56 +153,59 @@
                     .peers
                     .has_other_incarnation(&lease.holder, Incarnation(lease.incarnation))
         };
-        let before = shares.era;
+        let previous_era = shares.era;
         let Some(lease) = shares.claim(&claim, now, is_gone) else {
-            if shares.era != before {
+            if shares.era != previous_era {
                 self.write(&shares, version).await?;
             }
             let holder = shares.domains.get(&own.domain);
             let holder = holder.map_or_else(|| own.name.clone(), |one| one.lease.holder.clone());
-            return Err(RoleError::Held(holder));
+            return Err(ElectionError::Held(holder));
         };
-        // What is lowered is given up before it is written: somebody else may take it then.
+        // Shares are lowered before the row is written: another domain may raise its own right
+        // after.
         self.set_shares(&shares, f64::min);
         self.write(&shares, version).await?;
         if self.has_resigned.get() {
-            // The node has begun to stop meanwhile.
+            // The node began to stop while the row was written.
             self.release().await?;
-            return Err(RoleError::Stopping);
+            return Err(ElectionError::Stopping);
         }
-        self.enter(&lease, &shares, asked);
+        self.begin_term(&lease, &shares, requested_at);
         self.set_shares(&shares, |next, _| next);
         Ok(lease)
     }
 
-    async fn read(&self) -> Result<(Shares, StoreVersion, Now), RoleError> {
-        let asked = clock::now();
-        let reading = self.store.row(Table::Quotas, ROW).await;
-        let Lookup { row, era, now } = reading.map_err(RoleError::Store)?;
-        let told = now.ok_or(RoleError::NoTime)?;
-        let answered = clock::now();
-        if !self.quotas.clock.observe_era(era, answered) {
-            return Err(RoleError::Store(StoreError::HistoryGone));
+    async fn read(&self) -> Result<(Shares, StoreVersion, Now), ElectionError> {
+        let requested_at = clock::now();
+        let lookup = self.store.row(Table::Quotas, ROW_KEY).await;
+        let Lookup { row, era, now } = lookup.map_err(ElectionError::Store)?;
+        let reported = now.ok_or(ElectionError::NoTime)?;
+        let responded_at = clock::now();
+        if !self.quotas.clock.observe_era(era, responded_at) {
+            return Err(ElectionError::Store(StoreError::HistoryGone));
         }
-        self.quotas.clock.record(asked, answered, told);
-        let at_most = self.quotas.clock.upper_bound(answered);
+        self.quotas
+            .clock
+            .record(requested_at, responded_at, reported);
+        let upper_bound = self.quotas.clock.upper_bound(responded_at);
         let now = Now {
-            at_least_ms: told.millis(),
-            at_most_ms: at_most.unwrap_or(told).millis(),
+            at_least_ms: reported.millis(),
+            at_most_ms: upper_bound.unwrap_or(reported).millis(),
         };
         let Some(row) = row else {
             let version = StoreVersion { era, number: 0 };
             return Ok((Shares::default(), version, now));
         };
-        let shares: Result<Shares, RoleError> = match &row.content {
+        let shares: Result<Shares, ElectionError> = match &row.content {
             Content::Text(text) => {
-                serde_json::from_str(text).map_err(|error| RoleError::Row(error.to_string()))
+                serde_json::from_str(text).map_err(|error| ElectionError::Row(error.to_string()))
             }
-            Content::Unreadable(reason) => Err(RoleError::Row(reason.clone())),
+            Content::Unreadable(reason) => Err(ElectionError::Row(reason.clone())),
             Content::Removed => Ok(Shares::default()),
         };
-        // What cannot be read was not written by a node, and is written anew once nobody can hold a
-        // lease or tokens of before; until then the error is logged at each try.
+        // Nodes write only readable rows. An unreadable one is replaced once all earlier leases and
+        // tokens have expired; until then the error is logged at each attempt.
         let shares = match shares {
             Err(_) if self.is_unreadable_for_long() => Shares::default(),
             shares => {
@@ -214,26 +217,27 @@
         Ok((shares, row.version, now))
     }
 
-    /// Writes the row if nobody else has written it since.
-    async fn write(&self, shares: &Shares, version: StoreVersion) -> Result<(), RoleError> {
-        // In another era that version may be of another row.
+    /// Writes the row unless it has changed since it was read.
+    async fn write(&self, shares: &Shares, version: StoreVersion) -> Result<(), ElectionError> {
+        // In another era, the same version may belong to a different row.
         if version.era != self.quotas.clock.era() {
-            return Err(RoleError::Store(StoreError::Conflict));
+            return Err(ElectionError::Store(StoreError::Conflict));
         }
         let text =
-            serde_json::to_string(shares).map_err(|error| RoleError::Row(error.to_string()))?;
-        let written = self.store.replace(Table::Quotas, ROW, &text, version);
-        written.await.map_err(RoleError::Store)
+            serde_json::to_string(shares).map_err(|error| ElectionError::Row(error.to_string()))?;
+        let written = self.store.replace(Table::Quotas, ROW_KEY, &text, version);
+        written.await.map_err(ElectionError::Store)
     }
 
-    /// Returns true if the row could not be read for longer than anything of before holds.
+    /// Returns true if the row has been unreadable for longer than any earlier lease or token is
+    /// valid.
     fn is_unreadable_for_long(&self) -> bool {
         let since = self.unreadable_since.get().unwrap_or_else(Instant::now);
         self.unreadable_since.set(Some(since));
         since.elapsed() >= LEASE_DURATION + LEASE_GRACE
     }
 
-    fn say(&self) -> Claim {
+    fn build_claim(&self) -> Claim {
         let node = &self.quotas.node;
         let term = self.quotas.term.borrow();
         let demand = term
@@ -250,12 +254,12 @@
             has_seen_restore: self.quotas.clock.restored_at().is_some(),
             holding: self.holding(term.as_ref()),
             domain_count: self.peers.other_domain_count(&node.domain) + 1,
-            demand: rounded(demand),
+            demand: round_demands(demand),
             limited,
         }
     }
 
-    /// Returns what this node has as the allocator, whatever the store has.
+    /// Returns what this node holds as the allocator, regardless of the store.
     fn holding(&self, term: Option<&Term>) -> Option<Holding> {
         let now = clock::now();
         let term = term.filter(|term| self.quotas.is_valid(term, now))?;
@@ -270,9 +274,9 @@
         })
     }
 
-    fn enter(&self, lease: &Lease, shares: &Shares, asked: Moment) {
+    fn begin_term(&self, lease: &Lease, shares: &Shares, requested_at: Moment) {
         let now = clock::now();
-        let expiry = Expiry::new(lease, asked);
+        let expiry = Expiry::new(lease, requested_at);
         let mut term = self.quotas.term.borrow_mut();
         match term.as_mut() {
             Some(term) if term.number == lease.term => {
@@ -294,7 +298,7 @@
         }
     }
 
-    /// Sets each part to what `choose` makes of the next and the present one.
+    /// Sets each share to what `choose` returns for the share in the row and the current one.
     fn set_shares(&self, shares: &Shares, choose: impl Fn(f64, f64) -> f64) {
         let now = clock::now();
         let domain = &self.quotas.node.domain;
@@ -304,13 +308,13 @@
         };
         for workspace in self.quotas.limits.borrow().keys() {
             let next = shares.share(domain, workspace);
-            let present = term.allocator.share(workspace);
+            let current = term.allocator.share(workspace);
             term.allocator
-                .set_share(workspace, choose(next, present), now);
+                .set_share(workspace, choose(next, current), now);
         }
     }
 
-    async fn release(&self) -> Result<(), RoleError> {
+    async fn release(&self) -> Result<(), ElectionError> {
         let (mut shares, version, now) = self.read().await?;
         let node = &self.quotas.node;
         if !shares.release(&node.domain, &node.name, node.incarnation.0, now) {
@@ -319,9 +323,9 @@
         self.write(&shares, version).await
     }
 
-    fn note_lease(&self, lease: &Lease) {
+    fn record_lease(&self, lease: &Lease) {
         self.last_renewal.set(Some(Instant::now()));
-        self.quotas.is_part_missing.set(false);
+        self.quotas.is_share_missing.set(false);
         self.missing_since.set(None);
         if self.status.quota_term.replace(lease.term) != lease.term {
             self.status.publish();
@@ -330,9 +334,9 @@
     }
 
     #[allow(clippy::unused_self, reason = "events are written through one service")]
-    fn note_error(&self, error: &RoleError) {
-        // Nodes write in turn, and the one that comes second tries again.
-        if matches!(error, RoleError::Store(StoreError::Conflict)) {
+    fn log_error(&self, error: &ElectionError) {
+        // Nodes take turns writing; the one that loses the race retries.
+        if matches!(error, ElectionError::Store(StoreError::Conflict)) {
             return;
         }
         emit(
@@ -342,8 +346,10 @@
     }
 }
 
-/// Returns demands in tenths, which is close enough and short to write.
-fn rounded(demand: std::collections::HashMap<WorkspaceName, f64>) -> BTreeMap<WorkspaceName, f64> {
+/// Rounds demands to tenths: precise enough, and short in the row.
+fn round_demands(
+    demand: std::collections::HashMap<WorkspaceName, f64>,
+) -> BTreeMap<WorkspaceName, f64> {
     let demand = demand.into_iter();
     let demand = demand.map(|(name, demand)| (name, (demand * 10.0).round() / 10.0));
     demand.collect()
--- a/crates/mesh/src/quota/expiry.rs
+++ b/crates/mesh/src/quota/expiry.rs
@@ -1,4 +1,4 @@
-//! Until when a node may use its lease.
+//! When a node must stop using its lease.
 
 #[cfg(test)]
 mod tests;
@@ -8,39 +8,42 @@
 
 use crate::store::{CLOCK_ERROR, Clock, StoreTime};
 
-/// The end of a lease.
+/// The expiry of a lease.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Expiry {
-    /// By the store's clock,
-    until: StoreTime,
+    /// By the store's clock
+    expires_at: StoreTime,
     /// in this era,
     era: Era,
-    /// and by the own one, should that of the store begin anew.
-    until_here: Moment,
+    /// and by the node's own clock, in case the store's clock restarts.
+    expires_locally_at: Moment,
 }
 
 impl Expiry {
-    /// Returns the end of a lease that was asked for at this moment.
-    pub(super) fn new(lease: &Lease, asked: Moment) -> Self {
+    /// Returns the expiry of a lease that was requested at this moment.
+    pub(super) fn new(lease: &Lease, requested_at: Moment) -> Self {
         Self {
-            until: StoreTime::from_millis(lease.until_ms),
+            expires_at: StoreTime::from_millis(lease.until_ms),
             era: Era(lease.era),
-            until_here: asked + LEASE_DURATION,
+            expires_locally_at: requested_at + LEASE_DURATION,
         }
     }
 
-    /// Returns true while the lease surely holds, also if the bound on the store's clock is as much
-    /// too low as it may be: another node takes the lease once the store shows its end.
-    pub(super) fn is_ahead(&self, clock: &Clock, now: Moment) -> bool {
-        if now + CLOCK_ERROR >= self.until_here {
+    /// Returns true while the lease is certainly valid, even if the upper bound on the store's
+    /// clock is too low by its maximum error: another node may acquire the lease as soon as the
+    /// store's clock shows its expiry.
+    pub(super) fn is_valid(&self, clock: &Clock, now: Moment) -> bool {
+        if now + CLOCK_ERROR >= self.expires_locally_at {
             return false;
         }
-        // After a copy nobody takes the lease before its time is over by any clock.
+        // After the store was restored from a backup, no node acquires the lease before it has
+        // expired by every clock.
         if clock.era() != self.era {
             return true;
         }
-        let at_most = clock.upper_bound(now);
-        let is_ahead = |at_most: StoreTime| at_most.0 + CLOCK_ERROR < self.until.0;
-        at_most.is_some_and(is_ahead)
+        let upper_bound = clock.upper_bound(now);
+        let is_before_expiry =
+            |upper_bound: StoreTime| upper_bound.0 + CLOCK_ERROR < self.expires_at.0;
+        upper_bound.is_some_and(is_before_expiry)
     }
 }
--- a/crates/mesh/src/quota/fetcher.rs
+++ b/crates/mesh/src/quota/fetcher.rs
@@ -1,4 +1,4 @@
-//! Fetches tokens from the allocator of the own failure domain.
+//! Fetches tokens from the allocator of the node's own failure domain.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,53 +14,53 @@
 use crate::peer::Peers;
 use crate::quota::{Quotas, wire};
 
-/// How often tokens are fetched before they are needed.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long the allocator may take to answer: many times the way there and back.
-const ANSWER_TIME: Duration = Duration::from_millis(150);
-/// The pause after a question that was not answered.
-const PAUSE: Duration = Duration::from_millis(50);
+/// How often tokens are fetched in advance.
+const PREFETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// How long the allocator may take to reply: many times the round trip.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
+/// The pause after a request without a reply.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Fetches tokens for as long as the task lives, one question at a time.
+/// Fetches tokens, with one request to the allocator at a time.
 pub(crate) struct Fetcher {
     pub(crate) quotas: Rc<Quotas>,
     pub(crate) peers: Rc<Peers>,
 }
 
 impl Fetcher {
-    pub(crate) async fn run(self, mut wanted: mpsc::Receiver<()>) {
+    pub(crate) async fn run(self, mut wake_ups: mpsc::Receiver<()>) {
         loop {
             if self.quotas.cache.borrow().is_empty() {
-                // Nothing is fetched ahead for nobody.
-                if wanted.next().await.is_none() {
+                // Nothing is fetched in advance while no workspace is active.
+                if wake_ups.next().await.is_none() {
                     return;
                 }
             } else {
-                // Whether something waits or it is time to look, the same is done.
-                let _ = timeout(LOOK, wanted.next()).await;
+                // Fetches when a request waits or when the interval has elapsed.
+                let _ = timeout(PREFETCH_INTERVAL, wake_ups.next()).await;
             }
-            let asked = clock::now();
-            let wants = self.quotas.cache.borrow_mut().wants(asked);
+            let requested_at = clock::now();
+            let wants = self.quotas.cache.borrow_mut().wants(requested_at);
             if wants.is_empty() {
                 continue;
             }
-            match self.ask(&wants).await {
-                Some(answer) => {
-                    self.quotas.receive(&wants, &answer, asked);
+            match self.request(&wants).await {
+                Some(reply) => {
+                    self.quotas.receive(&wants, &reply, requested_at);
                     self.quotas.wake_all();
                 }
-                None => sleep(PAUSE).await,
+                None => sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    async fn ask(&self, wants: &[(WorkspaceName, Want)]) -> Option<TokenAnswer> {
+    async fn request(&self, wants: &[(WorkspaceName, Want)]) -> Option<TokenAnswer> {
         let quotas = &self.quotas;
-        let exchange = quotas.questions.get() + 1;
-        quotas.questions.set(exchange);
+        let exchange = quotas.last_exchange.get() + 1;
+        quotas.last_exchange.set(exchange);
         let messages = wants.iter();
-        let messages = messages.map(|(workspace, want)| wire::wanted(workspace, want));
-        let question = TokenQuestion {
+        let messages = messages.map(|(workspace, want)| wire::want_to_wire(workspace, want));
+        let request = TokenQuestion {
             exchange,
             wants: messages.collect(),
         };
@@ -69,16 +69,16 @@
                 node: quotas.node.name.clone(),
                 incarnation: quotas.node.incarnation.0,
             };
-            return Some(quotas.answer(&own, &question)).filter(|answer| !answer.not_allocator);
+            return Some(quotas.answer(&own, &request)).filter(|reply| !reply.not_allocator);
         }
-        // Tokens of another domain count as much, until there is an allocator in the own one.
+        // While the own domain has no allocator, tokens of another domain are equally valid.
         let link = self.peers.allocator_of(&quotas.node.domain);
         let link = link.or_else(|| self.peers.any_allocator())?;
-        let answer = timeout(ANSWER_TIME, link.request_tokens(question)).await;
-        if answer.is_err() {
-            // An answer that comes later must not count: what it gives is not asked for any more.
+        let reply = timeout(REPLY_TIMEOUT, link.request_tokens(request)).await;
+        if reply.is_err() {
+            // A later reply must not count: the tokens that it grants are no longer requested.
             link.cancel_token_requests();
         }
-        answer.ok()?.filter(|answer| !answer.not_allocator)
+        reply.ok()?.filter(|reply| !reply.not_allocator)
     }
 }
--- a/crates/mesh/src/quota/mod.rs
+++ b/crates/mesh/src/quota/mod.rs
@@ -1,8 +1,8 @@
-//! Lets requests in by the limits of their workspaces, which all nodes keep together.
+//! Enforces the limits of workspaces, which all nodes share.
 //!
-//! A node takes a token for each request out of its cache and fetches more
-//! from the allocator of its failure domain. What is decided is in
-//! `sailtrack-quota`; here it meets links, the store and the clock.
+//! A node takes a token for each request from its cache and fetches more from the allocator of its
+//! failure domain. The decisions are made in `sailtrack-quota`; this module connects them to peer
+//! links, the store and the clock.
 
 mod election;
 mod expiry;
@@ -31,26 +31,26 @@
 use crate::quota::expiry::Expiry;
 use crate::store::Clock;
 
-/// How long a request waits for a token: some hundred times the way to the allocator and back, and
-/// little beside the second or so within which callers hope for an answer.
-const ASK_TIME: Duration = Duration::from_millis(250);
-/// A token whose request was refused is given back if it was taken this lately. Until then the
-/// allocator takes it for used, so it is one more; what is refused by a full upstream is refused
-/// within the 0.2 s for which calls wait.
-const GIVE_BACK_TIME: Duration = Duration::from_millis(400);
-/// A workspace that goes on being over its limit is logged this often.
-const LOG_PAUSE: Duration = Duration::from_secs(5);
+/// How long a request waits for a token: some hundred round trips to the allocator, and little
+/// compared with the second or so within which callers expect a response.
+const TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
+/// A token is refunded only within this time, if its request was refused. Meanwhile the allocator
+/// counts it as used, so a refund adds a token; a request refused by a full upstream is refused
+/// within the 0.2 s for which calls are queued.
+const REFUND_TIME_LIMIT: Duration = Duration::from_millis(400);
+/// The least time between two log events about the same workspace exceeding its limit.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why a request gets no token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Shortage {
-    /// Its workspace asks more than it may; there is a token after this time.
-    Over(Duration),
+    /// The workspace exceeds its limit; a token is available after this time.
+    Exhausted(Duration),
     /// The allocator cannot be reached.
     NoAllocator,
 }
 
-/// Who this node is among those that keep and fetch tokens.
+/// Identifies this node to allocators and in the lease.
 #[derive(Debug, Clone)]
 pub(crate) struct Node {
     pub(crate) name: NodeName,
@@ -58,14 +58,14 @@
     pub(crate) domain: DomainName,
 }
 
-/// The term of this node as the allocator of its domain.
+/// The term of this node as the allocator of its failure domain.
 struct Term {
     allocator: Allocator,
     number: u64,
     expiry: Expiry,
 }
 
-/// Lets requests in by the limits of their workspaces.
+/// Enforces the limits of workspaces.
 pub(crate) struct Quotas {
     node: Node,
     tolerance: Cell<Tolerance>,
@@ -75,14 +75,14 @@
     cache: RefCell<Cache>,
     limits: RefCell<HashMap<WorkspaceName, Limit>>,
     term: RefCell<Option<Term>>,
-    /// Who waits for the next answer of the allocator.
-    waiting: RefCell<Vec<oneshot::Sender<()>>>,
-    /// Tells the asker that something waits.
-    wanted: RefCell<mpsc::Sender<()>>,
-    logged: RefCell<HashMap<WorkspaceName, Moment>>,
-    questions: Cell<u64>,
-    /// A workspace has got a limit of which this domain has no part yet.
-    is_part_missing: Cell<bool>,
+    /// Requests waiting for the next reply of the allocator.
+    waiters: RefCell<Vec<oneshot::Sender<()>>>,
+    /// Wakes the fetcher when a request waits for a token.
+    fetcher: RefCell<mpsc::Sender<()>>,
+    last_logged: RefCell<HashMap<WorkspaceName, Moment>>,
+    last_exchange: Cell<u64>,
+    /// A workspace has a new limit of which this domain has no share yet.
+    is_share_missing: Cell<bool>,
 }
 
 impl Service for Quotas {
@@ -94,7 +94,7 @@
         node: Node,
         tolerance: Tolerance,
         (clock, current, metrics): (Rc<Clock>, Rc<Current>, Rc<Metrics>),
-        wanted: mpsc::Sender<()>,
+        fetcher: mpsc::Sender<()>,
     ) -> Self {
         Self {
             node,
@@ -105,29 +105,29 @@
             cache: RefCell::default(),
             limits: RefCell::default(),
             term: RefCell::default(),
-            waiting: RefCell::default(),
-            wanted: RefCell::new(wanted),
-            logged: RefCell::default(),
-            questions: Cell::new(0),
-            is_part_missing: Cell::new(false),
+            waiters: RefCell::default(),
+            fetcher: RefCell::new(fetcher),
+            last_logged: RefCell::default(),
+            last_exchange: Cell::new(0),
+            is_share_missing: Cell::new(false),
         }
     }
 
-    /// Takes a token for a request of a workspace that has a limit.
-    pub(crate) async fn admit(
+    /// Acquires a token for a request of a workspace that has a limit.
+    pub(crate) async fn acquire(
         self: &Rc<Self>,
         workspace: &WorkspaceName,
     ) -> Result<Token, Shortage> {
-        let taken = self.cache.borrow_mut().acquire(workspace, clock::now());
-        let taken = match taken {
+        let acquisition = self.cache.borrow_mut().acquire(workspace, clock::now());
+        let acquisition = match acquisition {
             Acquisition::Fetch => self.wait_for_token(workspace).await,
-            taken => Ok(taken),
+            acquisition => Ok(acquisition),
         };
-        match taken {
+        match acquisition {
             Ok(Acquisition::Token) => Ok(Token::new(self, workspace)),
             Ok(Acquisition::Exhausted(wait)) => {
-                self.note_over(workspace);
-                Err(Shortage::Over(wait))
+                self.record_exhausted(workspace);
+                Err(Shortage::Exhausted(wait))
             }
             Ok(Acquisition::Fetch) | Err(_) => Err(Shortage::NoAllocator),
         }
@@ -137,28 +137,28 @@
         &self,
         workspace: &WorkspaceName,
     ) -> Result<Acquisition, monoio::time::error::Elapsed> {
-        let _waiting = Waiting::new(self, workspace);
+        let _waiter = Waiter::new(self, workspace);
         let waiting = async {
             loop {
-                let (sender, answered) = oneshot::channel();
-                self.waiting.borrow_mut().push(sender);
-                // A full channel holds the same wish.
-                let _ = self.wanted.borrow_mut().try_send(());
-                // The asker lives as long as the node.
-                let _ = answered.await;
-                let taken = self
+                let (sender, notified) = oneshot::channel();
+                self.waiters.borrow_mut().push(sender);
+                // If the channel is full, the fetcher will wake up anyway.
+                let _ = self.fetcher.borrow_mut().try_send(());
+                // The fetcher runs as long as the node.
+                let _ = notified.await;
+                let acquisition = self
                     .cache
                     .borrow_mut()
                     .acquire_waiting(workspace, clock::now());
-                if taken != Acquisition::Fetch {
-                    return taken;
+                if acquisition != Acquisition::Fetch {
+                    return acquisition;
                 }
             }
         };
-        timeout(ASK_TIME, waiting).await
+        timeout(TOKEN_TIMEOUT, waiting).await
     }
 
-    /// Takes the limits of a configuration into force.
+    /// Applies the limits of a configuration.
     pub(crate) fn set_limits(&self, configuration: Option<&Configuration>) {
         let workspaces = configuration.and_then(|known| known.workspaces.as_ref());
         let all = workspaces.into_iter().flat_map(Workspaces::all);
@@ -167,7 +167,7 @@
         let before = self.limits.replace(limits);
         let limits = self.limits.borrow();
         if limits.keys().any(|name| !before.contains_key(name)) {
-            self.is_part_missing.set(true);
+            self.is_share_missing.set(true);
         }
         let mut cache = self.cache.borrow_mut();
         for name in before.keys() {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Puts another tolerance into force.
+    /// Replaces the tolerance.
     pub(crate) fn set_tolerance(&self, tolerance: Tolerance) {
         self.tolerance.set(tolerance);
         if let Some(term) = self.term.borrow_mut().as_mut() {
@@ -188,9 +188,9 @@
         }
     }
 
-    /// Answers a question of another node, or of this one, if it keeps the tokens.
-    pub(crate) fn answer(&self, holder: &Holder, question: &TokenQuestion) -> TokenAnswer {
-        let exchange = question.exchange;
+    /// Replies to a token request of another node or of this one, if this node is the allocator.
+    pub(crate) fn answer(&self, holder: &Holder, request: &TokenQuestion) -> TokenAnswer {
+        let exchange = request.exchange;
         let now = clock::now();
         let mut term = self.term.borrow_mut();
         let term = term.as_mut().filter(|term| self.is_valid(term, now));
@@ -201,12 +201,12 @@
                 grants: Vec::new(),
             };
         };
-        let grants = question.wants.iter().map(|want| {
-            let grant = wire::want(want).and_then(|(workspace, want)| {
+        let grants = request.wants.iter().map(|want| {
+            let grant = wire::want_from_wire(want).and_then(|(workspace, want)| {
                 term.allocator
                     .allocate((holder, exchange), &workspace, want, now)
             });
-            wire::grant(grant)
+            wire::grant_to_wire(grant)
         });
         TokenAnswer {
             exchange,
@@ -215,51 +215,51 @@
         }
     }
 
-    /// Returns true if this node keeps the tokens of its domain.
+    /// Returns true if this node is the allocator of its failure domain.
     pub(crate) fn is_allocator(&self) -> bool {
         let term = self.term.borrow();
         term.as_ref()
             .is_some_and(|term| self.is_valid(term, clock::now()))
     }
 
-    /// Returns true if a workspace has a limit.
-    pub(crate) fn is_needed(&self) -> bool {
+    /// Returns true if any workspace has a limit.
+    pub(crate) fn has_limits(&self) -> bool {
         !self.limits.borrow().is_empty()
     }
 
     fn is_valid(&self, term: &Term, now: Moment) -> bool {
-        term.expiry.is_ahead(&self.clock, now)
+        term.expiry.is_valid(&self.clock, now)
     }
 
-    fn receive(&self, wants: &[(WorkspaceName, Want)], answer: &TokenAnswer, asked: Moment) {
+    fn receive(&self, wants: &[(WorkspaceName, Want)], answer: &TokenAnswer, requested_at: Moment) {
         let mut cache = self.cache.borrow_mut();
         for ((workspace, want), grant) in wants.iter().zip(&answer.grants) {
-            let grant = wire::granted(grant).unwrap_or(Grant {
-                // The allocator has an older configuration, or a newer one, without this limit.
+            let grant = wire::grant_from_wire(grant).unwrap_or(Grant {
+                // The allocator has a configuration, older or newer, without this limit.
                 tokens: want.needed,
                 recalled: 0,
                 wait: Duration::ZERO,
             });
-            cache.receive(workspace, grant, asked);
+            cache.receive(workspace, grant, requested_at);
         }
     }
 
     fn wake_all(&self) {
-        for waiting in self.waiting.borrow_mut().drain(..) {
-            // Who waited may have given up.
-            let _ = waiting.send(());
+        for waiter in self.waiters.borrow_mut().drain(..) {
+            // The request may have stopped waiting.
+            let _ = waiter.send(());
         }
     }
 
-    fn note_over(&self, workspace: &WorkspaceName) {
+    fn record_exhausted(&self, workspace: &WorkspaceName) {
         self.metrics.note_over_quota();
         let now = clock::now();
-        let mut logged = self.logged.borrow_mut();
-        let last = logged.get(workspace).copied();
-        if last.is_some_and(|last| now.since(last) < LOG_PAUSE) {
+        let mut last_logged = self.last_logged.borrow_mut();
+        let last = last_logged.get(workspace).copied();
+        if last.is_some_and(|last| now.since(last) < LOG_INTERVAL) {
             return;
         }
-        logged.insert(workspace.clone(), now);
+        last_logged.insert(workspace.clone(), now);
         let limit = self.limits.borrow().get(workspace).copied();
         let rate = limit.map_or(0.0, |limit| limit.rate);
         emit(
@@ -273,20 +273,20 @@
     }
 }
 
-/// Tells the allocator, while it lives, that a request waits for a token.
-struct Waiting<'a> {
+/// Counts a request as waiting for a token until dropped.
+struct Waiter<'a> {
     quotas: &'a Quotas,
     workspace: &'a WorkspaceName,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> Waiter<'a> {
     fn new(quotas: &'a Quotas, workspace: &'a WorkspaceName) -> Self {
         quotas.cache.borrow_mut().set_waiting(workspace, true);
         Self { quotas, workspace }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for Waiter<'_> {
     fn drop(&mut self) {
         self.quotas
             .cache
@@ -299,7 +299,7 @@
 pub(crate) struct Token {
     quotas: Rc<Quotas>,
     workspace: WorkspaceName,
-    taken: Moment,
+    acquired_at: Moment,
 }
 
 impl Token {
@@ -307,13 +307,13 @@
         Self {
             quotas: Rc::clone(quotas),
             workspace: workspace.clone(),
-            taken: clock::now(),
+            acquired_at: clock::now(),
         }
     }
 
-    /// Gives it back, since its request did not run and never will.
+    /// Refunds the token, since its request did not run and never will.
     pub(crate) fn refund(self) {
-        if clock::now().since(self.taken) < GIVE_BACK_TIME {
+        if clock::now().since(self.acquired_at) < REFUND_TIME_LIMIT {
             self.quotas.cache.borrow_mut().refund(&self.workspace);
         }
     }
--- a/crates/mesh/src/quota/wire.rs
+++ b/crates/mesh/src/quota/wire.rs
@@ -1,4 +1,4 @@
-//! Questions for tokens and their answers, as messages between nodes.
+//! Conversion of token requests and grants to and from messages between nodes.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use sailtrack_units::WorkspaceName;
 use sailtrack_wire::{TokenGrant, TokenWant};
 
-/// Returns the message for what is wanted.
-pub(super) fn wanted(workspace: &WorkspaceName, want: &Want) -> TokenWant {
+/// Returns the message for the tokens wanted for a workspace.
+pub(super) fn want_to_wire(workspace: &WorkspaceName, want: &Want) -> TokenWant {
     TokenWant {
         workspace: workspace.to_string(),
         held: want.held,
@@ -17,8 +17,9 @@
     }
 }
 
-/// Reads what is wanted; a name that cannot be read has no limit here.
-pub(super) fn want(message: &TokenWant) -> Option<(WorkspaceName, Want)> {
+/// Parses the tokens wanted for a workspace; `None` if its name is invalid, so it has no limit
+/// here.
+pub(super) fn want_from_wire(message: &TokenWant) -> Option<(WorkspaceName, Want)> {
     let want = Want {
         held: message.held,
         needed: message.needed,
@@ -28,8 +29,8 @@
     Some((message.workspace.parse().ok()?, want))
 }
 
-/// Returns the message for what is given; nothing stands for a workspace without a limit.
-pub(super) fn grant(grant: Option<Grant>) -> TokenGrant {
+/// Returns the message for a grant; `None` stands for a workspace without a limit.
+pub(super) fn grant_to_wire(grant: Option<Grant>) -> TokenGrant {
     let Some(grant) = grant else {
         return TokenGrant {
             unlimited: true,
@@ -44,8 +45,8 @@
     }
 }
 
-/// Reads what is given.
-pub(super) fn granted(message: &TokenGrant) -> Option<Grant> {
+/// Parses a grant; `None` stands for a workspace without a limit.
+pub(super) fn grant_from_wire(message: &TokenGrant) -> Option<Grant> {
     let grant = Grant {
         tokens: message.tokens,
         recalled: message.recalled,
