--- a/crates/mesh/src/freshness/tests.rs
+++ b/crates/mesh/src/freshness/tests.rs
@@ -1,11 +1,11 @@
-//! Until when keys are believed.
+//! How long keys are accepted without news from the store.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use sailtrack_units::{ConfigVersion, Era, Moment};
 
-use super::{Freshness, RESERVE};
+use super::{Freshness, MARGIN};
 use crate::metrics::Metrics;
 use crate::store::clock::tests::pair::{Calls, Pair, all};
 use crate::store::{Clock, StoreTime};
@@ -16,94 +16,95 @@
     Moment::since_boot(Duration::from_millis(millis))
 }
 
-fn told(millis: u64) -> StoreTime {
+fn store_time(millis: u64) -> StoreTime {
     StoreTime::from_millis(millis)
 }
 
-/// Returns what a node knows that asked the store at 1 s of its own clock, 51 s of the store's.
-fn known(bound: Option<Duration>) -> Freshness {
+/// Returns the state of a node that read the store's clock at 1 s of its own clock, 51 s of the
+/// store's.
+fn synchronized(bound: Option<Duration>) -> Freshness {
     let clock = Rc::new(Clock::default());
-    clock.record(at(1000), at(1000), told(51_000));
+    clock.record(at(1000), at(1000), store_time(51_000));
     Freshness::new(clock, Rc::new(Metrics::new()), bound)
 }
 
 #[test]
 fn unbounded() {
-    assert!(known(None).is_fresh(at(1000)));
+    assert!(synchronized(None).is_fresh(at(1000)));
 }
 
 #[test]
 fn never_confirmed() {
-    assert!(!known(Some(BOUND)).is_fresh(at(1000)));
+    assert!(!synchronized(Some(BOUND)).is_fresh(at(1000)));
 }
 
 #[test]
 fn until_bound() {
-    let known = known(Some(BOUND));
+    let freshness = synchronized(Some(BOUND));
     let version = ConfigVersion(3);
-    assert!(known.confirm(version, told(51_000), version, at(1000)));
-    // Nine tenths of the time are used.
-    assert!(known.is_fresh(at(5500)));
-    assert!(!known.is_fresh(at(6000)));
-    assert!(known.confirm(version, told(54_000), version, at(4000)));
-    assert!(known.is_fresh(at(6000)));
+    assert!(freshness.confirm(version, store_time(51_000), version, at(1000)));
+    // Nine tenths of the bound have elapsed.
+    assert!(freshness.is_fresh(at(5500)));
+    assert!(!freshness.is_fresh(at(6000)));
+    assert!(freshness.confirm(version, store_time(54_000), version, at(4000)));
+    assert!(freshness.is_fresh(at(6000)));
 }
 
-/// What another node says late, or had from another one, counts from the time that it is about.
+/// A report that arrives late or through another node counts from the time that it refers to.
 #[test]
 fn old_news() {
-    let known = known(Some(BOUND));
+    let freshness = synchronized(Some(BOUND));
     let version = ConfigVersion(3);
-    known.confirm(version, told(54_000), version, at(4000));
-    assert!(!known.confirm(version, told(52_000), version, at(4500)));
-    assert!(known.is_fresh(at(8500)));
-    assert!(!known.is_fresh(at(9000)));
+    freshness.confirm(version, store_time(54_000), version, at(4000));
+    assert!(!freshness.confirm(version, store_time(52_000), version, at(4500)));
+    assert!(freshness.is_fresh(at(8500)));
+    assert!(!freshness.is_fresh(at(9000)));
 }
 
-/// A version that is not in force here confirms nothing until it is.
+/// A confirmation of a version that is not in force here proves nothing until it is.
 #[test]
 fn ahead() {
-    let known = known(Some(BOUND));
+    let freshness = synchronized(Some(BOUND));
     let (old, new) = (ConfigVersion(3), ConfigVersion(4));
-    known.confirm(old, told(51_000), old, at(1000));
-    known.confirm(new, told(55_000), old, at(5000));
-    assert!(!known.is_fresh(at(6000)));
-    known.apply_version(new, at(5500));
-    assert!(known.is_fresh(at(6000)));
+    freshness.confirm(old, store_time(51_000), old, at(1000));
+    freshness.confirm(new, store_time(55_000), old, at(5000));
+    assert!(!freshness.is_fresh(at(6000)));
+    freshness.apply_version(new, at(5500));
+    assert!(freshness.is_fresh(at(6000)));
 }
 
-/// An older version was the newest one then, so what was taken away by then is gone in a later one.
+/// An older version was the newest one then, so keys revoked by then are absent from later ones.
 #[test]
 fn behind() {
-    let known = known(Some(BOUND));
+    let freshness = synchronized(Some(BOUND));
     let (old, new) = (ConfigVersion(3), ConfigVersion(4));
-    assert!(known.confirm(old, told(51_500), new, at(1500)));
+    assert!(freshness.confirm(old, store_time(51_500), new, at(1500)));
 }
 
-/// A time that lies ahead is not of the clock that this node knows.
+/// A time in the future does not belong to the clock that this node knows.
 #[test]
 fn another_clock() {
-    let known = known(Some(BOUND));
+    let freshness = synchronized(Some(BOUND));
     let version = ConfigVersion(3);
-    assert!(!known.confirm(version, told(90_000), version, at(1500)));
-    assert!(!known.is_fresh(at(1500)));
+    assert!(!freshness.confirm(version, store_time(90_000), version, at(1500)));
+    assert!(!freshness.is_fresh(at(1500)));
 }
 
-/// A store that begins anew is believed again.
+/// A store whose clock restarts is trusted again.
 #[test]
 fn store_begins_anew() {
-    let known = known(Some(BOUND));
+    let freshness = synchronized(Some(BOUND));
     let version = ConfigVersion(3);
-    known.confirm(version, told(51_000), version, at(1000));
-    known.clock.record(at(2000), at(2000), told(500));
-    assert!(!known.is_fresh(at(2000)));
-    assert!(known.confirm(version, told(500), version, at(2000)));
-    assert!(known.is_fresh(at(2000)));
+    freshness.confirm(version, store_time(51_000), version, at(1000));
+    freshness.clock.record(at(2000), at(2000), store_time(500));
+    assert!(!freshness.is_fresh(at(2000)));
+    assert!(freshness.confirm(version, store_time(500), version, at(2000)));
+    assert!(freshness.is_fresh(at(2000)));
 }
 
-/// Plays a node that follows the store, and one that hears of it from this one alone.
+/// Simulates a node that follows the store and a peer that learns only from it.
 ///
-/// Returns by how much the age looked too young at either, and whether both served all the time.
+/// Returns by how much the age was underestimated at either, and whether both always accepted keys.
 fn follow(pair: Pair, seed: u64) -> (Duration, bool) {
     let version = ConfigVersion(3);
     let node = || {
@@ -113,17 +114,17 @@
     let (follower, peer) = (node(), node());
     let mut calls = Calls::new(pair, seed);
     let mut now = at(1000);
-    let mut young = Duration::ZERO;
+    let mut underestimate = Duration::ZERO;
     let mut is_served = true;
-    let mut is_known = false;
+    let mut is_confirmed = false;
     while now < at(80_000) {
         let answer = calls.call(&follower.clock, now);
         while now < answer.answered {
-            for node in [&follower, &peer].into_iter().filter(|_| is_known) {
-                let as_of = node.as_of().expect("it was told");
+            for node in [&follower, &peer].into_iter().filter(|_| is_confirmed) {
+                let as_of = node.as_of().expect("a proof");
                 let true_age = pair.shown(now).0.saturating_sub(as_of.0);
                 if let Some(age) = node.age(now) {
-                    young = young.max(true_age.saturating_sub(age));
+                    underestimate = underestimate.max(true_age.saturating_sub(age));
                 }
                 is_served &= node.is_fresh(now);
             }
@@ -141,26 +142,26 @@
             peer.clock.record_peer_bound(now, at_most);
             peer.confirm(version, answer.reported, version, now);
         }
-        is_known = true;
+        is_confirmed = true;
     }
-    (young, is_served)
+    (underestimate, is_served)
 }
 
-/// Clocks that run apart by as much as they may make no key run longer than it may.
+/// No clock drift within the assumed bounds makes a node accept a revoked key for too long.
 #[test]
 fn never_too_young() {
     for pair in all(&[0.005, 1.0, 2.0]) {
         for seed in 0..10 {
-            let (young, _) = follow(pair, seed);
+            let (underestimate, _) = follow(pair, seed);
             assert!(
-                young < RESERVE,
-                "{pair:?}, seed {seed}: {young:?} too young"
+                underestimate < MARGIN,
+                "{pair:?}, seed {seed}: age underestimated by {underestimate:?}"
             );
         }
     }
 }
 
-/// While the store is reached keys are believed, however the clocks run apart.
+/// While the store is reachable, keys are accepted in spite of clock drift.
 #[test]
 fn served_all_along() {
     for pair in all(&[0.005, 0.5, 0.9]) {
@@ -173,97 +174,111 @@
 
 const VERSION: ConfigVersion = ConfigVersion(3);
 
-/// Returns what a node knows at 1 s in the first era, confirmed then.
+/// Returns the state of a node at 1 s in the first era, with a confirmed version.
 fn confirmed() -> Freshness {
     let clock = Rc::new(Clock::default());
     clock.observe_era(Era(1), at(900));
-    clock.record(at(1000), at(1000), told(51_000));
-    let known = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
-    assert!(known.confirm(VERSION, told(51_000), VERSION, at(1000)));
-    known
+    clock.record(at(1000), at(1000), store_time(51_000));
+    let freshness = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
+    assert!(freshness.confirm(VERSION, store_time(51_000), VERSION, at(1000)));
+    freshness
 }
 
-/// What was proved before the store came back from a copy holds for the rest of its time, by the
-/// own clock, whatever that of the store shows now.
+/// A proof from before a restore stays valid for the rest of its time by the node's own clock,
+/// whatever the store's clock shows.
 #[test]
 fn proof_outlasts_copy() {
-    let known = confirmed();
-    assert!(known.clock.observe_era(Era(2), at(3000)));
-    assert!(known.is_fresh(at(3000)));
-    assert_eq!(known.as_of(), None, "others are told nothing of it");
-    known.clock.record(at(3100), at(3100), told(500));
-    assert!(known.is_fresh(at(5500)));
-    assert!(!known.is_fresh(at(6000)));
+    let freshness = confirmed();
+    assert!(freshness.clock.observe_era(Era(2), at(3000)));
+    assert!(freshness.is_fresh(at(3000)));
+    assert_eq!(
+        freshness.as_of(),
+        None,
+        "a proof of an earlier era is not reported"
+    );
+    freshness.clock.record(at(3100), at(3100), store_time(500));
+    assert!(freshness.is_fresh(at(5500)));
+    assert!(!freshness.is_fresh(at(6000)));
 }
 
-/// The copy may lack what others have: for a while nothing proves that the version is the newest.
+/// A restored backup may lack a version that others have: for a while, its responses prove nothing.
 #[test]
 fn settles_after_copy() {
-    let known = confirmed();
-    known.clock.observe_era(Era(2), at(3000));
-    known.clock.record(at(3100), at(3100), told(500));
-    assert!(!known.confirm(VERSION, told(500), VERSION, at(3100)));
-    assert!(known.confirm(VERSION, told(1000), VERSION, at(3600)));
-    assert!(known.is_fresh(at(7000)));
-    assert_eq!(known.as_of(), Some(told(1000)));
+    let freshness = confirmed();
+    freshness.clock.observe_era(Era(2), at(3000));
+    freshness.clock.record(at(3100), at(3100), store_time(500));
+    assert!(!freshness.confirm(VERSION, store_time(500), VERSION, at(3100)));
+    assert!(freshness.confirm(VERSION, store_time(1000), VERSION, at(3600)));
+    assert!(freshness.is_fresh(at(7000)));
+    assert_eq!(freshness.as_of(), Some(store_time(1000)));
 }
 
-/// A node that has an older version than another one, since the copy has it.
+/// This node has an older version than another one, since the restored backup does.
 #[test]
 fn others_have_newer() {
-    let known = confirmed();
-    known.clock.observe_era(Era(2), at(3000));
-    known.clock.record(at(4000), at(4000), told(52_000));
-    known.observe_version(ConfigVersion(4));
-    assert!(!known.confirm(VERSION, told(52_000), VERSION, at(4000)));
-    assert!(known.confirm(ConfigVersion(4), told(52_000), ConfigVersion(4), at(4000)));
+    let freshness = confirmed();
+    freshness.clock.observe_era(Era(2), at(3000));
+    freshness
+        .clock
+        .record(at(4000), at(4000), store_time(52_000));
+    freshness.observe_version(ConfigVersion(4));
+    assert!(!freshness.confirm(VERSION, store_time(52_000), VERSION, at(4000)));
+    assert!(freshness.confirm(
+        ConfigVersion(4),
+        store_time(52_000),
+        ConfigVersion(4),
+        at(4000)
+    ));
 }
 
-/// Without a reading of the new era its times say nothing, and what was known before goes on.
+/// Until the store's clock has been read in the new era, its times prove nothing, and the earlier
+/// proof stays valid.
 #[test]
 fn era_without_reading() {
-    let known = confirmed();
-    known.clock.observe_era(Era(2), at(2000));
-    assert!(!known.confirm(VERSION, told(90_000), VERSION, at(3000)));
-    assert!(known.is_fresh(at(5500)));
-    assert!(!known.is_fresh(at(6000)));
+    let freshness = confirmed();
+    freshness.clock.observe_era(Era(2), at(2000));
+    assert!(!freshness.confirm(VERSION, store_time(90_000), VERSION, at(3000)));
+    assert!(freshness.is_fresh(at(5500)));
+    assert!(!freshness.is_fresh(at(6000)));
 }
 
 #[test]
 fn era_is_over() {
-    let known = confirmed();
-    assert!(known.clock.observe_era(Era(2), at(2000)));
-    assert!(known.clock.observe_era(Era(3), at(2100)));
-    assert!(!known.clock.observe_era(Era(2), at(2200)));
-    assert!(!known.clock.observe_era(Era(1), at(2200)));
-    assert!(known.clock.observe_era(Era(3), at(2200)));
-    assert!(known.is_fresh(at(5500)));
+    let freshness = confirmed();
+    assert!(freshness.clock.observe_era(Era(2), at(2000)));
+    assert!(freshness.clock.observe_era(Era(3), at(2100)));
+    assert!(!freshness.clock.observe_era(Era(2), at(2200)));
+    assert!(!freshness.clock.observe_era(Era(1), at(2200)));
+    assert!(freshness.clock.observe_era(Era(3), at(2200)));
+    assert!(freshness.is_fresh(at(5500)));
 }
 
-/// What was said ahead of the version in force goes with its era.
+/// A confirmation of a version that is not in force yet is discarded with its era.
 #[test]
 fn ahead_of_another_era() {
-    let known = confirmed();
+    let freshness = confirmed();
     let new = ConfigVersion(4);
-    known.confirm(new, told(54_000), VERSION, at(4000));
-    known.clock.observe_era(Era(2), at(4100));
-    known.clock.record(at(4100), at(4100), told(54_100));
-    known.apply_version(new, at(5000));
-    assert_eq!(known.as_of(), None);
+    freshness.confirm(new, store_time(54_000), VERSION, at(4000));
+    freshness.clock.observe_era(Era(2), at(4100));
+    freshness
+        .clock
+        .record(at(4100), at(4100), store_time(54_100));
+    freshness.apply_version(new, at(5000));
+    assert_eq!(freshness.as_of(), None);
 }
 
-/// A node that starts hears others before it believes what may be a copy; what they have proved it
-/// believes at once.
+/// A node that has just started waits for reports of its peers before it trusts a store that may
+/// have been restored; it accepts their proofs at once.
 #[test]
 fn starts_after_copy() {
     let clock = Rc::new(Clock::default());
     clock.observe_era(Era(2), at(900));
-    clock.record(at(1000), at(1000), told(51_000));
-    let known = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
-    assert!(!known.confirm_by_store(told(51_000), VERSION, at(1000)));
-    assert!(known.confirm(VERSION, told(50_900), VERSION, at(1000)));
-    known.observe_version(ConfigVersion(4));
-    assert!(!known.confirm_by_store(told(51_500), VERSION, at(1500)));
+    clock.record(at(1000), at(1000), store_time(51_000));
+    let freshness = Freshness::new(clock, Rc::new(Metrics::new()), Some(BOUND));
+    assert!(!freshness.confirm_by_store(store_time(51_000), VERSION, at(1000)));
+    assert!(freshness.confirm(VERSION, store_time(50_900), VERSION, at(1000)));
+    freshness.observe_version(ConfigVersion(4));
+    assert!(!freshness.confirm_by_store(store_time(51_500), VERSION, at(1500)));
     let new = ConfigVersion(4);
-    assert!(known.confirm_by_store(told(51_600), new, at(1600)));
+    assert!(freshness.confirm_by_store(store_time(51_600), new, at(1600)));
 }
