--- a/crates/mesh/src/dispatch/tests.rs
+++ b/crates/mesh/src/dispatch/tests.rs
@@ -16,7 +16,7 @@
 #[test]
 fn lost_under_load() {
     assert!(!is_retry_futile(&lost(0.4)));
-    assert!(!is_retry_futile(&lost(1.2)), "requests wait, no more");
+    assert!(!is_retry_futile(&lost(1.2)), "requests are only queued");
     assert!(is_retry_futile(&lost(2.0)), "requests are refused");
 }
 
@@ -26,7 +26,7 @@
         failed_below: true,
         ..lost(0.4)
     };
-    assert!(is_retry_futile(&failed), "it was repeated there");
+    assert!(is_retry_futile(&failed), "it was already retried there");
 }
 
 /// One upstream is full and the next node has none: the caller is told about the full one.
--- a/crates/mesh/src/entry/exchange/tests.rs
+++ b/crates/mesh/src/entry/exchange/tests.rs
@@ -12,7 +12,7 @@
 
 /// Returns the outcome reported for a request that turns out not to have run 1 ms after its
 /// deadline, if the deadline timer fires late by `late`.
-fn told(late: Duration) -> Outcome {
+fn reported(late: Duration) -> Outcome {
     let deadline = clock::now().before(late);
     let dispatch = async {
         sleep(Duration::from_millis(1)).await;
@@ -26,10 +26,10 @@
 /// report a request that never ran as one that may have run.
 #[test]
 fn stood_still() {
-    assert_eq!(told(STALL_THRESHOLD), Outcome::NotRun);
+    assert_eq!(reported(STALL_THRESHOLD), Outcome::NotRun);
 }
 
 #[test]
 fn told_at_once() {
-    assert_eq!(told(Duration::ZERO), Outcome::Unknown);
+    assert_eq!(reported(Duration::ZERO), Outcome::Unknown);
 }
--- a/crates/mesh/src/entry/pipeline/tests.rs
+++ b/crates/mesh/src/entry/pipeline/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// A pipeline with two idempotent requests.
-const READS: State = State {
+const IDEMPOTENT: State = State {
     count: 2,
     is_exclusive: false,
     lifecycle: Lifecycle::Open,
@@ -20,7 +20,7 @@
     };
     assert!(
         full.can_start(true) && full.can_start(false),
-        "one at a time"
+        "an empty pipeline may start any request"
     );
     let closed = State {
         lifecycle: Lifecycle::Closed,
@@ -31,12 +31,12 @@
 
 #[test]
 fn behind_others() {
-    assert!(READS.can_start(true));
-    assert!(!READS.can_start(false), "it may run once");
+    assert!(IDEMPOTENT.can_start(true));
+    assert!(!IDEMPOTENT.can_start(false), "not idempotent");
     let exclusive = State {
         count: 1,
         is_exclusive: true,
-        ..READS
+        ..IDEMPOTENT
     };
     assert!(!exclusive.can_start(true));
 }
@@ -46,29 +46,29 @@
     let last = State {
         count: MAX_PIPELINED - 1,
         pending_response_bytes: MAX_PENDING_RESPONSE_BYTES - 1,
-        ..READS
+        ..IDEMPOTENT
     };
     assert!(last.can_start(true));
     let beyond = [
         State {
             count: MAX_PIPELINED,
-            ..READS
+            ..IDEMPOTENT
         },
         State {
             pending_response_bytes: MAX_PENDING_RESPONSE_BYTES,
-            ..READS
+            ..IDEMPOTENT
         },
         State {
             is_node_full: true,
-            ..READS
+            ..IDEMPOTENT
         },
         State {
             lifecycle: Lifecycle::Draining,
-            ..READS
+            ..IDEMPOTENT
         },
         State {
             lifecycle: Lifecycle::Closed,
-            ..READS
+            ..IDEMPOTENT
         },
     ];
     for state in beyond {
--- a/crates/mesh/src/retry/tests.rs
+++ b/crates/mesh/src/retry/tests.rs
@@ -144,7 +144,7 @@
 /// Retries of normal requests at three services add up as calls at the service below them.
 #[test]
 fn levels_add_up() {
-    for wanted_each in [1, 4, 7, 10, 20] {
+    for requested_each in [1, 4, 7, 10, 20] {
         let budget = Budget::new(BOUNDS);
         let start = clock::now();
         record_nested(&budget, start);
@@ -153,7 +153,7 @@
         for tenth in 0..300 {
             let now = start + Duration::from_millis(100 * tenth);
             record(&budget, 100, false, now);
-            for _ in 0..wanted_each {
+            for _ in 0..requested_each {
                 let is_granted = budget.try_acquire(&normal, now, 15);
                 granted += u32::from(is_granted && tenth >= 100);
             }
@@ -161,7 +161,7 @@
         // 20,000 requests are counted meanwhile.
         assert!(
             granted * 3 <= 4000,
-            "{granted} with {wanted_each} in 100 wanted"
+            "{granted} with {requested_each} requested per 100"
         );
     }
 }
@@ -176,7 +176,7 @@
         request(Rank::from_index(70), false),
         request(Rank::HIGHEST, false),
     );
-    let (mut granted, mut wanted) = (0, 0);
+    let (mut granted, mut requested) = (0, 0);
     for tenth in 0..200 {
         let now = start + Duration::from_millis(100 * tenth);
         record(&budget, 100, false, now);
@@ -184,11 +184,11 @@
             budget.try_acquire(&low, now, 15);
         }
         for _ in 0..10 {
-            wanted += 1;
+            requested += 1;
             granted += u32::from(budget.try_acquire(&critical, now, 15));
         }
     }
-    assert!(granted * 10 >= wanted * 9, "{granted} of {wanted}");
+    assert!(granted * 10 >= requested * 9, "{granted} of {requested}");
 }
 
 #[test]
@@ -202,7 +202,7 @@
     let second = drain(&budget, Rank::HIGHEST, later);
     assert!(
         second.abs_diff(first) <= 1,
-        "{second}, the window before counts: {first}"
+        "{second}, the previous window counts: {first}"
     );
     let much_later = now + Duration::from_secs(40);
     assert!(drain(&budget, Rank::HIGHEST, much_later) < 2);
@@ -217,7 +217,7 @@
     assert!(drain(&budget, Rank::HIGHEST, clock::now()) > 0);
     clock::suspend(BOUNDS.window.0 * 3);
     let after = drain(&budget, Rank::HIGHEST, clock::now());
-    assert!(after <= 1, "{after} repeats without requests");
+    assert!(after <= 1, "{after} retries without requests");
 }
 
 /// Simulates requests that each make four sequential calls to a service that rejects the given
@@ -233,12 +233,12 @@
         state ^= state << 13;
         state ^= state >> 7;
         state ^= state << 17;
-        u32::try_from(state % 100).expect("it is below 100")
+        u32::try_from(state % 100).expect("below 100")
     };
     let (mut through, mut begun) = (0, 0);
     for hundredth in 0..3000 {
         let now = start + Duration::from_millis(10 * hundredth);
-        let rank = Rank::from_index(u8::try_from(128 + draw() % 64).expect("it fits"));
+        let rank = Rank::from_index(u8::try_from(128 + draw() % 64).expect("a rank"));
         let mut answered = 0;
         while answered < 4 {
             let call = Request {
@@ -268,6 +268,6 @@
 #[test]
 fn nearly_through_first() {
     let (with, without) = (completed_percent(40, true), completed_percent(40, false));
-    println!("{with} of 100 requests get through, {without} without a look at their progress");
+    println!("{with} of 100 requests complete, {without} without counting completed calls");
     assert!(with > without, "{with} and {without}");
 }
--- a/crates/mesh/src/routing/load/tests.rs
+++ b/crates/mesh/src/routing/load/tests.rs
@@ -79,7 +79,13 @@
 }
 
 /// Records a successful response with the given latency.
-fn answers(load: &mut PeerLoad, times: &mut Latencies, now: Instant, kind: &str, time: Duration) {
+fn record_answer(
+    load: &mut PeerLoad,
+    times: &mut Latencies,
+    now: Instant,
+    kind: &str,
+    time: Duration,
+) {
     let answer = Response::answered(200, Bytes::new(), Body::Whole(Bytes::new()));
     let kind = kind.parse().expect("a name");
     load.record(now, CLASS, &answer);
@@ -88,14 +94,14 @@
 
 #[test]
 fn slow_ones_are_known() {
-    let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
+    let (mut slow, mut fast, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
     let mut times = Latencies::default();
     for _ in 0..30 {
-        answers(&mut slow, &mut times, now, "read", TIME * 5);
-        answers(&mut quick, &mut times, now, "read", TIME);
+        record_answer(&mut slow, &mut times, now, "read", TIME * 5);
+        record_answer(&mut fast, &mut times, now, "read", TIME);
     }
-    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 4.0);
-    assert!(cost(&slow, now) > cost(&quick, now) * 2.0);
+    assert!(slow.slowness_and_pace(now).0 > fast.slowness_and_pace(now).0 * 4.0);
+    assert!(cost(&slow, now) > cost(&fast, now) * 2.0);
 }
 
 /// Latencies are compared by kind of request: a node that gets the long ones is not slow.
@@ -104,9 +110,9 @@
     let (mut one, mut other, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
     let mut times = Latencies::default();
     for _ in 0..30 {
-        answers(&mut one, &mut times, now, "search", TIME * 10);
-        answers(&mut other, &mut times, now, "read", TIME);
-        answers(&mut other, &mut times, now, "search", TIME * 10);
+        record_answer(&mut one, &mut times, now, "search", TIME * 10);
+        record_answer(&mut other, &mut times, now, "read", TIME);
+        record_answer(&mut other, &mut times, now, "search", TIME * 10);
     }
     assert!(one.slowness_and_pace(now).0 < other.slowness_and_pace(now).0 * 1.2);
 }
@@ -114,16 +120,16 @@
 /// A request abandoned after a long time shows that the node is slow, even without a response.
 #[test]
 fn given_up_is_slow() {
-    let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
+    let (mut slow, mut fast, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
     let (mut times, kind) = (Latencies::default(), "read".parse().expect("a name"));
     for _ in 0..10 {
-        answers(&mut quick, &mut times, now, "read", TIME);
+        record_answer(&mut fast, &mut times, now, "read", TIME);
         slow.record_latency(now, &mut times, (CLASS, &kind), TIME * 5, None);
     }
-    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 2.0);
+    assert!(slow.slowness_and_pace(now).0 > fast.slowness_and_pace(now).0 * 2.0);
     let mut left = PeerLoad::default();
     left.record_latency(now, &mut times, (CLASS, &kind), TIME / 10, None);
-    assert!(!left.is_known(), "a client that leaves early tells nothing");
+    assert!(!left.is_known(), "a request abandoned early is no sample");
 }
 
 /// A node that has recovered must get requests again: one whose upstream had crashed got none from
@@ -139,25 +145,25 @@
     let later = now + Duration::from_secs(6);
     assert!(cost(&load, later) < cost(&sound, later) * 1.1);
     load.reset();
-    assert!(load.is_available(now), "another upstream did not fail");
+    assert!(load.is_available(now), "the new upstream has not failed");
 }
 
 /// Measured latencies expire: a node that was slow once got no requests that show that it is fast
 /// again.
 #[test]
 fn times_are_forgotten() {
-    let (mut slow, mut quick, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
+    let (mut slow, mut fast, now) = (PeerLoad::default(), PeerLoad::default(), Instant::now());
     let mut times = Latencies::default();
     for _ in 0..30 {
-        answers(&mut slow, &mut times, now, "read", TIME * 2);
-        answers(&mut quick, &mut times, now, "read", TIME);
+        record_answer(&mut slow, &mut times, now, "read", TIME * 2);
+        record_answer(&mut fast, &mut times, now, "read", TIME);
     }
-    assert!(slow.slowness_and_pace(now).0 > quick.slowness_and_pace(now).0 * 1.5);
+    assert!(slow.slowness_and_pace(now).0 > fast.slowness_and_pace(now).0 * 1.5);
     let later = now + Duration::from_secs(30);
-    answers(&mut quick, &mut times, later, "read", TIME);
-    assert!(slow.slowness_and_pace(later).0 < quick.slowness_and_pace(later).0 * 1.2);
+    record_answer(&mut fast, &mut times, later, "read", TIME);
+    assert!(slow.slowness_and_pace(later).0 < fast.slowness_and_pace(later).0 * 1.2);
     slow.reset();
-    assert!(!slow.is_known(), "another upstream was not slow");
+    assert!(!slow.is_known(), "the new upstream has not been slow");
 }
 
 /// The pace of an instance takes effect at once and expires soon.
