--- a/crates/mesh/src/dialect.rs
+++ b/crates/mesh/src/dialect.rs
@@ -33,7 +33,8 @@
     pub signature: &'static str,
     /// The load that an upstream reports.
     pub load: &'static str,
-    /// Identifies the running instance of an upstream; on responses to health checks.
+    /// Identifies the incarnation of an upstream, which changes when it restarts; on responses to
+    /// health checks.
     pub upstream: &'static str,
 }
 
@@ -49,7 +50,7 @@
 /// The periodic heartbeat of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The running instance of the upstream; a restart changes it.
+    /// The incarnation of the upstream, which changes when it restarts.
     pub upstream: UpstreamKey,
     /// The service that the upstream belongs to.
     pub service: ServiceName,
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -213,8 +213,8 @@
 /// Returns true if retrying a failed request is futile.
 ///
 /// A failed nested call has already been retried as far as that helps, and retrying the whole
-/// request would repeat all its calls. Queueing at an upstream is no reason to give up: if one call
-/// in five loses its response, a request with five calls usually fails, and under high load
+/// request would repeat all its calls. Queueing at an upstream is no reason to give up: when one of
+/// a request's five calls loses its response, the work of all five is lost, and under high load
 /// requests always queue somewhere.
 fn is_retry_futile(response: &Response) -> bool {
     response.failed_below || response.path_pressure >= Pressure::OVERLOADED
--- a/crates/mesh/src/quota/election.rs
+++ b/crates/mesh/src/quota/election.rs
@@ -35,7 +35,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// How long a node waits after its start, to connect to its peers, before it may acquire the lease.
 const STARTUP_DELAY: Duration = Duration::from_millis(1200);
-/// The additional wait of each node, multiplied by its position in the order of candidates.
+/// The additional wait for each node that is ahead in the order of candidates.
 const PRIORITY_DELAY: Duration = Duration::from_millis(500);
 
 /// Why a node could not become or remain the allocator.
--- a/crates/mesh/src/retry.rs
+++ b/crates/mesh/src/retry.rs
@@ -24,8 +24,8 @@
 /// Share that a node uses while nested calls cannot be recognized: the retries of a chain of
 /// services add up at its last one, so each service of a chain of four gets a quarter.
 const UNRECOGNIZED_SHARE: f64 = 0.25;
-/// Share of the allowed slack that all nodes use. One retry at the top of a chain of four services,
-/// the last of which is called four times, causes about 13 requests at the last one.
+/// Share of the allowed slack that all nodes use together. One retry at the top of a chain of four
+/// services, the last of which is called four times, causes about 13 requests at the last one.
 const SLACK_SHARE: f64 = 0.08;
 /// A request may use the part of the budget that is its relative rank raised to this power: normal
 /// requests up to 1/8 of it, critical ones from 2/5 on. Within an importance level, all services
--- a/crates/mesh/src/retry_after.rs
+++ b/crates/mesh/src/retry_after.rs
@@ -40,7 +40,7 @@
     TRIAL_DELAY + TRIAL_JITTER.mul_f64(rand::rng().random())
 }
 
-/// Returns the delay for a full upstream, with a jitter of up to `jitter`.
+/// Returns the delay for a full upstream, with a random addition of up to `jitter`.
 pub(crate) fn overload(jitter: Duration) -> Duration {
     MIN_OVERLOAD_DELAY + jitter.mul_f64(rand::rng().random())
 }
