--- a/crates/mesh/src/entry/pipeline.rs
+++ b/crates/mesh/src/entry/pipeline.rs
@@ -253,8 +253,8 @@
 
     fn poll_slots(&self, context: &mut Context<'_>) {
         for slot in self.slots.borrow_mut().iter_mut() {
-            if let Slot::Pending(work) = slot
-                && let Poll::Ready(reply) = work.as_mut().poll(context)
+            if let Slot::Pending(exchange) = slot
+                && let Poll::Ready(reply) = exchange.as_mut().poll(context)
             {
                 *slot = Slot::Ready(reply);
             }
--- a/crates/mesh/src/retry/tests.rs
+++ b/crates/mesh/src/retry/tests.rs
@@ -67,8 +67,8 @@
     let now = clock::now();
     record(&budget, 1000, false, now);
     record_nested(&budget, now);
-    let taken = drain(&budget, Rank::HIGHEST, now);
-    assert!((150..=200).contains(&taken), "{taken} of 200 allowed");
+    let granted = drain(&budget, Rank::HIGHEST, now);
+    assert!((150..=200).contains(&granted), "{granted} of 200 allowed");
 }
 
 /// Nested calls cannot be recognized: four chained services that each use their share stay within
@@ -78,9 +78,9 @@
     let budget = Budget::new(BOUNDS);
     let now = clock::now();
     record(&budget, 1000, false, now);
-    let taken = drain(&budget, Rank::HIGHEST, now);
-    assert!(taken * 4 <= 204, "{taken} at each of four services");
-    assert!(taken > 0);
+    let granted = drain(&budget, Rank::HIGHEST, now);
+    assert!(granted * 4 <= 204, "{granted} at each of four services");
+    assert!(granted > 0);
 }
 
 /// Nodes without requests stay within the common slack, even if one retry causes many requests.
@@ -90,15 +90,15 @@
 #[test]
 fn slack_is_shared() {
     let now = clock::now();
-    let taken: usize = (0..4000)
+    let granted: usize = (0..4000)
         .map(|_| {
-            let taken = drain(&Budget::new(BOUNDS), Rank::HIGHEST, now);
-            assert!(taken <= 1);
-            taken
+            let granted = drain(&Budget::new(BOUNDS), Rank::HIGHEST, now);
+            assert!(granted <= 1);
+            granted
         })
         .sum();
-    assert!((900..=1200).contains(&taken), "{taken} of 4000 nodes");
-    assert!(taken * 15 * 13 <= 4000 * 59, "{taken} of 4000 nodes");
+    assert!((900..=1200).contains(&granted), "{granted} of 4000 nodes");
+    assert!(granted * 15 * 13 <= 4000 * 59, "{granted} of 4000 nodes");
 }
 
 #[test]
--- a/crates/mesh/src/routing/load/tests.rs
+++ b/crates/mesh/src/routing/load/tests.rs
@@ -65,9 +65,9 @@
         );
     }
     assert!(load.is_available(now));
-    let sound = PeerLoad::default();
+    let healthy = PeerLoad::default();
     assert!(
-        cost(&load, now) > cost(&sound, now),
+        cost(&load, now) > cost(&healthy, now),
         "another node is preferred"
     );
 }
@@ -140,10 +140,10 @@
     for _ in 0..50 {
         load.record(now, CLASS, &failed(false));
     }
-    let sound = PeerLoad::default();
-    assert!(cost(&load, now) > cost(&sound, now) * 10.0);
+    let healthy = PeerLoad::default();
+    assert!(cost(&load, now) > cost(&healthy, now) * 10.0);
     let later = now + Duration::from_secs(6);
-    assert!(cost(&load, later) < cost(&sound, later) * 1.1);
+    assert!(cost(&load, later) < cost(&healthy, later) * 1.1);
     load.reset();
     assert!(load.is_available(now), "the new upstream has not failed");
 }
