--- a/crates/mesh/src/announcement/error.rs
+++ b/crates/mesh/src/announcement/error.rs
@@ -14,21 +14,21 @@
 pub(crate) enum AnnouncementError {
     /// {0}
     Dialect(DialectError),
-    /// the upstream of this node belongs to service {expected}, not {announced}
+    /// the upstream beside this node is of service {expected}, not {announced}
     Service {
         /// The service of this node's upstream.
         expected: ServiceName,
         /// The service in the message.
         announced: ServiceName,
     },
-    /// the upstream of this node is at {expected}, not at {announced}
+    /// the upstream beside this node is at {expected}, not at {announced}
     Address {
         /// The address of this node's upstream.
         expected: SocketAddr,
         /// The address in the message.
         announced: SocketAddr,
     },
-    /// the start time of the upstream is missing, though earlier messages had it
+    /// the upstream beside this node tells when it was started, this message does not
     MissingStart,
 }
 
--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -132,10 +132,7 @@
         if is_durable {
             Response::json(StatusCode::OK, self.dialect.acknowledgement())
         } else {
-            Response::text(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "retirement not recorded yet\n",
-            )
+            Response::text(StatusCode::SERVICE_UNAVAILABLE, "not remembered yet\n")
         }
     }
 
--- a/crates/mesh/src/dialect.rs
+++ b/crates/mesh/src/dialect.rs
@@ -78,7 +78,7 @@
 /// Why a message of an upstream or a configuration cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum DialectError {
-    /// no resource at this path
+    /// there is nothing at this path
     NotFound,
     /// {place}: {reason}
     Malformed {
--- a/crates/mesh/src/entry/response.rs
+++ b/crates/mesh/src/entry/response.rs
@@ -15,27 +15,27 @@
 /// Why a request gets no response from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(super) enum Refusal {
-    /// malformed request or ambiguous body length
+    /// the request is malformed, or its end can be read in two ways
     Malformed,
-    /// missing or unknown workspace key
+    /// the request needs a key of a workspace, and has none or one that no workspace has
     Unauthorized,
-    /// workspace quota exceeded, retry later
+    /// the workspace asks more than it may, come back later
     OverQuota,
-    /// no route for this host and path
+    /// no route leads to this host and path
     NoRoute,
-    /// timed out waiting for the request
+    /// the head did not come in time
     Timeout,
-    /// request body too large
+    /// the body is too large
     BodyTooLarge,
-    /// request head too large
+    /// the head is too large
     HeadTooLarge,
-    /// the upstream response was lost or cannot be forwarded
+    /// the answer of the upstream was lost or cannot be passed on
     BadGateway,
-    /// the request was not executed, retry later
+    /// the request did not run, come back later
     NotRun,
-    /// the request is quarantined because upstreams crashed while running it, do not retry
+    /// upstreams ended under this request, so it is sent to none any more; do not send it again
     Quarantined,
-    /// deadline exceeded
+    /// the time is over
     DeadlineExceeded,
 }
 
--- a/crates/mesh/src/key/upstream.rs
+++ b/crates/mesh/src/key/upstream.rs
@@ -24,9 +24,9 @@
 /// Why a text is not a valid key.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum KeyError {
-    /// the id of an upstream must not be empty or contain a slash: {0:?}
+    /// an id of an upstream must not be empty or contain a slash: {0:?}
     Id(String),
-    /// the start time after the slash must be a whole number of milliseconds: {0:?}
+    /// after the slash must stand a whole number of milliseconds: {0:?}
     StartTime(String),
 }
 
--- a/crates/quarantine/src/identity.rs
+++ b/crates/quarantine/src/identity.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// request identity {0:?} is not 32 hexadecimal digits
+/// an identity has 32 hexadecimal digits: {0:?}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub struct IdentityError(String);
 
