--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -2,9 +2,9 @@
 //! life cycle of the process that holds them, with why it fails.
 
 mod error;
-mod life;
+mod lifecycle;
 mod table;
 
 pub use error::Error;
-pub use life::{Draining, Joining, Life, Phase, Serving, Stopped};
+pub use lifecycle::{Draining, Joining, Lifecycle, Phase, Serving, Stopped};
 pub use table::{Missing, Service, Table};
--- a/crates/kernel/src/life.rs
+++ b/crates/kernel/src/lifecycle.rs
@@ -37,28 +37,28 @@
 
 /// A life in one state; each step consumes it and returns the next state.
 #[derive(Debug)]
-pub struct Life<State> {
+pub struct Lifecycle<State> {
     phase: Rc<Cell<Phase>>,
     state: PhantomData<State>,
 }
 
-impl<State> Life<State> {
+impl<State> Lifecycle<State> {
     /// Returns a handle through which the phase can be read at any time.
     #[must_use]
-    pub fn watch(&self) -> Rc<Cell<Phase>> {
+    pub fn phase(&self) -> Rc<Cell<Phase>> {
         Rc::clone(&self.phase)
     }
 
-    fn step<Next>(self, phase: Phase) -> Life<Next> {
+    fn transition<Next>(self, phase: Phase) -> Lifecycle<Next> {
         self.phase.set(phase);
-        Life {
+        Lifecycle {
             phase: self.phase,
             state: PhantomData,
         }
     }
 }
 
-impl Default for Life<Joining> {
+impl Default for Lifecycle<Joining> {
     fn default() -> Self {
         Self {
             phase: Rc::new(Cell::new(Phase::Joining)),
@@ -67,32 +67,32 @@
     }
 }
 
-impl Life<Joining> {
+impl Lifecycle<Joining> {
     /// Begins to take work.
     #[must_use]
-    pub fn serve(self) -> Life<Serving> {
-        self.step(Phase::Serving)
+    pub fn serve(self) -> Lifecycle<Serving> {
+        self.transition(Phase::Serving)
     }
 
     /// Ends a life that never served.
     #[must_use]
-    pub fn abandon(self) -> Life<Stopped> {
-        self.step(Phase::Stopped)
+    pub fn abandon(self) -> Lifecycle<Stopped> {
+        self.transition(Phase::Stopped)
     }
 }
 
-impl Life<Serving> {
+impl Lifecycle<Serving> {
     /// Stops taking new work.
     #[must_use]
-    pub fn drain(self) -> Life<Draining> {
-        self.step(Phase::Draining)
+    pub fn drain(self) -> Lifecycle<Draining> {
+        self.transition(Phase::Draining)
     }
 }
 
-impl Life<Draining> {
+impl Lifecycle<Draining> {
     /// Ends the life once no work is left.
     #[must_use]
-    pub fn stop(self) -> Life<Stopped> {
-        self.step(Phase::Stopped)
+    pub fn stop(self) -> Lifecycle<Stopped> {
+        self.transition(Phase::Stopped)
     }
 }
--- a/crates/mesh/src/announcement/mod.rs
+++ b/crates/mesh/src/announcement/mod.rs
@@ -110,7 +110,7 @@
     }
 
     fn refuse(&self, error: &AnnouncementError) -> Response {
-        self.metrics.note_refused_announcement();
+        self.metrics.record_refused_announcement();
         emit(
             &catalogue::INPUT_REFUSED,
             &[("port", &"announcements"), ("reason", error)],
--- a/crates/mesh/src/clock.rs
+++ b/crates/mesh/src/clock.rs
@@ -21,13 +21,13 @@
 const LOOK: Duration = Duration::from_millis(500);
 
 /// An answer may have come while the node itself stood still; it is read in this time.
-pub(crate) const LAST_LOOK: Duration = Duration::from_millis(5);
+pub(crate) const READ_GRACE: Duration = Duration::from_millis(5);
 
 /// the time is over
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub(crate) struct Late;
+pub(crate) struct Elapsed;
 
-impl std::error::Error for Late {}
+impl std::error::Error for Elapsed {}
 
 /// Returns the present moment.
 #[cfg(not(test))]
@@ -39,7 +39,10 @@
 pub(crate) use tests::{now, suspend};
 
 /// Waits for a future until a deadline.
-pub(crate) async fn until<T>(deadline: Moment, future: impl Future<Output = T>) -> Result<T, Late> {
+pub(crate) async fn timeout_at<T>(
+    deadline: Moment,
+    future: impl Future<Output = T>,
+) -> Result<T, Elapsed> {
     let expiry = async {
         loop {
             let left = deadline.since(now());
@@ -51,6 +54,6 @@
     };
     match select(std::pin::pin!(future), std::pin::pin!(expiry)).await {
         Either::Left((value, _)) => Ok(value),
-        Either::Right(_) => Err(Late),
+        Either::Right(_) => Err(Elapsed),
     }
 }
--- a/crates/mesh/src/clock/tests.rs
+++ b/crates/mesh/src/clock/tests.rs
@@ -7,7 +7,7 @@
 use sailtrack_net::runtime;
 use sailtrack_units::Moment;
 
-use crate::clock::{Late, until};
+use crate::clock::{Elapsed, timeout_at};
 
 /// How long the instance of a test is suspended.
 pub(crate) const SUSPENSIONS: [Duration; 3] = [
@@ -36,7 +36,7 @@
     let waited = async {
         let deadline = now() + Duration::from_millis(900);
         let began = std::time::Instant::now();
-        let waiting = until(deadline, sleep(Duration::from_secs(20)));
+        let waiting = timeout_at(deadline, sleep(Duration::from_secs(20)));
         let suspending = async {
             sleep(Duration::from_millis(100)).await;
             suspend(Duration::from_secs(1));
@@ -45,13 +45,13 @@
         (result, began.elapsed())
     };
     let (result, time) = runtime::run(waited).expect("a runtime");
-    assert_eq!(result, Err(Late));
+    assert_eq!(result, Err(Elapsed));
     assert!(time < Duration::from_millis(800), "{time:?}");
 }
 
 #[test]
 fn ends_in_time() {
     let deadline = now() + Duration::from_secs(5);
-    let result = runtime::run(until(deadline, std::future::ready(7))).expect("a runtime");
+    let result = runtime::run(timeout_at(deadline, std::future::ready(7))).expect("a runtime");
     assert_eq!(result, Ok(7));
 }
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -27,7 +27,7 @@
 use crate::retry::Budget;
 use crate::retry_after;
 use crate::routing::{Routing, Target};
-use crate::wake::Wake;
+use crate::suspension;
 
 /// How often a request that no upstream has seen is brought elsewhere.
 const MOST_REDIRECTS: u32 = 2;
@@ -43,7 +43,7 @@
     pub(crate) gate: Rc<Gate>,
     pub(crate) budget: Rc<Budget>,
     pub(crate) quarantine: Rc<Quarantine>,
-    pub(crate) wake: Rc<Wake>,
+    pub(crate) suspension: Rc<suspension::Detector>,
     pub(crate) directory: Rc<Directory>,
     pub(crate) events: Rc<Events>,
     pub(crate) metrics: Rc<Metrics>,
@@ -112,7 +112,7 @@
     ) -> Response {
         let mut tries = Tries::default();
         let mut last = None;
-        self.wake.news().await;
+        self.suspension.catch_up().await;
         self.budget.note_request(&work, clock::now());
         loop {
             // What is held against it may have become known while it ran.
@@ -132,9 +132,9 @@
                 return conclude(tries.ran, Some(more_telling(last, returned)));
             }
             let name = target.name(&self.routing.name);
-            self.events.note_retry(&work.attempt, name, &returned);
+            self.events.log_retry(&work.attempt, name, &returned);
             if returned.was_sent {
-                self.metrics.note_repeat(&work.service);
+                self.metrics.record_retry(&work.service);
             }
             tries.nodes.push(name.clone());
             work.is_retry |= returned.was_sent;
--- a/crates/mesh/src/entry/answering.rs
+++ b/crates/mesh/src/entry/answering.rs
@@ -21,7 +21,7 @@
 use crate::entry::exchange::{Answer, Ended};
 use crate::entry::pipeline::Pipeline;
 use crate::entry::request::Incoming;
-use crate::events::End;
+use crate::events::Completion;
 use crate::request::Response;
 
 /// How long a client may take to accept an answer.
@@ -77,7 +77,7 @@
         self.log(&incoming, &returned, &trail);
         let time = incoming.came.elapsed();
         let kind = &incoming.route.name;
-        self.entry.metrics.note_answer(kind, &returned, time);
+        self.entry.metrics.record_answer(kind, &returned, time);
         let was_refused = returned.outcome == Outcome::NotRun;
         let was_answered = returned.outcome == Outcome::Done;
         let asked = Asked {
@@ -149,8 +149,8 @@
         let (attempt, kind) = (&incoming.attempt, &incoming.route.name);
         let version = self.entry.current.version();
         let events = &self.entry.events;
-        events.note_key_refused(attempt, kind, refusal, version);
-        self.entry.metrics.note_key_refused();
+        events.log_credential_error(attempt, kind, refusal, version);
+        self.entry.metrics.record_credential_error();
         self.refuse(Refusal::NoKey, None).await
     }
 
@@ -172,7 +172,7 @@
     fn note_unread(&self) {
         let count = self.pipeline.len();
         if self.pipeline.is_closed() && count > 0 {
-            self.entry.metrics.note_unread(count);
+            self.entry.metrics.record_unread(count);
             emit(&catalogue::REQUESTS_NOT_READ, &[("count", &count)]);
         }
     }
@@ -188,31 +188,31 @@
 
     fn log(&self, incoming: &Incoming, returned: &Response, trail: &Trail) {
         let refusal = Refusal::of(returned);
-        let end = End {
+        let end = Completion {
             attempt: &incoming.attempt,
             kind: &incoming.route.name,
             status: refusal.map_or(returned.status, Refusal::status),
             trail,
             reason: returned.reason,
             pressure: returned.observed_pressure(),
-            failed_below: returned.failed_below,
+            callee_failed: returned.failed_below,
             workspace: incoming.workspace().map(|workspace| &workspace.name),
             version: self.entry.current.version(),
-            after: incoming.came.elapsed(),
-            calls: self.entry.in_flight.get(),
+            elapsed: incoming.came.elapsed(),
+            in_flight: self.entry.in_flight.get(),
         };
         let events = &self.entry.events;
         match refusal {
             None if returned.is_success() => {}
-            None => events.note_bad_answer(&end),
-            Some(Refusal::NotRun | Refusal::OverQuota) => events.note_refused_end(&end),
+            None => events.log_error_response(&end),
+            Some(Refusal::NotRun | Refusal::OverQuota) => events.log_entry_refusal(&end),
             Some(Refusal::Harmful) => {
-                events.note_refused_end(&end);
+                events.log_entry_refusal(&end);
                 if let Some(identity) = trail.identity() {
-                    events.note_held_back(end.attempt, &identity);
+                    events.log_quarantine_refusal(end.attempt, &identity);
                 }
             }
-            Some(_) => events.note_failure(&end),
+            Some(_) => events.log_failure(&end),
         }
     }
 
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -11,7 +11,7 @@
 use sailtrack_units::Moment;
 use sailtrack_wire::{Outcome, Reason};
 
-use crate::clock::{self, LAST_LOOK, Late};
+use crate::clock::{self, Elapsed, READ_GRACE};
 use crate::dispatch::Trail;
 use crate::entry::CredentialError;
 use crate::entry::Entry;
@@ -131,7 +131,7 @@
     if clock::now().since(deadline) < STOOD_STILL {
         return Response::unknown(Reason::Deadline);
     }
-    let returned = timeout(LAST_LOOK, dispatch).await;
+    let returned = timeout(READ_GRACE, dispatch).await;
     returned.unwrap_or_else(|_| Response::unknown(Reason::Deadline))
 }
 
@@ -152,9 +152,9 @@
     }
     // Boxed, since each future around it would keep room for it once more.
     let mut dispatch = Box::pin(entry.dispatcher.dispatch(work, &incoming.route, trail));
-    let returned = match clock::until(incoming.deadline, &mut dispatch).await {
+    let returned = match clock::timeout_at(incoming.deadline, &mut dispatch).await {
         Ok(returned) => returned,
-        Err(Late) => look_once_more(incoming.deadline, dispatch).await,
+        Err(Elapsed) => look_once_more(incoming.deadline, dispatch).await,
     };
     if let Some(parent) = &incoming.parent {
         parent.record_result(&returned);
--- a/crates/mesh/src/entry/reading.rs
+++ b/crates/mesh/src/entry/reading.rs
@@ -173,7 +173,7 @@
         self.pipeline.push(exchange, !is_idempotent);
         let depth = self.pipeline.len();
         if depth > 1 {
-            self.entry.metrics.note_pipelined(depth);
+            self.entry.metrics.record_pipelined(depth);
         }
     }
 
@@ -253,7 +253,7 @@
         let mut hasher = incoming.hasher(&self.entry.service);
         let see = |piece: &[u8]| hasher.update(piece);
         let body = self.reader.body_seen(incoming.framing, limit, see);
-        match clock::until(incoming.deadline, body).await {
+        match clock::timeout_at(incoming.deadline, body).await {
             Ok(Ok(body)) => Ok(Received {
                 body,
                 identity: hasher.finish(),
--- a/crates/mesh/src/events.rs
+++ b/crates/mesh/src/events.rs
@@ -27,19 +27,19 @@
 use sampler::{Sampler, Verdict};
 
 /// The most requests that the event of a crash names: an upstream runs some hundred at once.
-const MOST_NAMED: usize = 200;
+const MAX_NAMED_REQUESTS: usize = 200;
 
 /// What was full where a request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub(crate) enum Bound {
+pub(crate) enum Limiter {
     /// nothing
-    Nothing,
+    None,
     /// queue
     Queue,
     /// window
     Window,
     /// path
-    Path,
+    Breaker,
 }
 
 /// A request that was refused at the gate, and what decided it.
@@ -49,9 +49,9 @@
     pub(crate) reason: Reason,
     /// The queue before the upstream, the window of its kind, or a service further down that has
     /// no upstream.
-    pub(crate) bound: Bound,
+    pub(crate) limiter: Limiter,
     /// The requests that ran and waited there.
-    pub(crate) calls: usize,
+    pub(crate) in_flight: usize,
 }
 
 /// A request to whose answer nobody waits any more, since the own upstream is silent.
@@ -60,13 +60,13 @@
     pub(crate) kind: &'a KindName,
     pub(crate) waited: Duration,
     /// All but few of its kind take less, at the usual pace.
-    pub(crate) usual: Duration,
+    pub(crate) expected: Duration,
     /// How many of its kind that were sent later have been answered.
     pub(crate) overtaken: u32,
 }
 
 /// The end of a request at the entry, and what decided it.
-pub(crate) struct End<'a> {
+pub(crate) struct Completion<'a> {
     pub(crate) attempt: &'a AttemptKey,
     pub(crate) kind: &'a KindName,
     /// The status that the client gets.
@@ -76,14 +76,14 @@
     /// How full the path was that it took.
     pub(crate) pressure: Pressure,
     /// Whether a call made for it failed.
-    pub(crate) failed_below: bool,
+    pub(crate) callee_failed: bool,
     /// On whose behalf a client asked.
     pub(crate) workspace: Option<&'a WorkspaceName>,
     /// The configuration by which it was brought there.
     pub(crate) version: ConfigVersion,
-    pub(crate) after: Duration,
+    pub(crate) elapsed: Duration,
     /// The requests that the node works on.
-    pub(crate) calls: usize,
+    pub(crate) in_flight: usize,
 }
 
 /// Writes log events about single requests, and leaves out what is too many.
@@ -111,7 +111,7 @@
 
 impl Events {
     /// Notes that a request was refused at the gate.
-    pub(crate) fn note_refusal(&self, refusal: &Refusal<'_>) {
+    pub(crate) fn log_gate_refusal(&self, refusal: &Refusal<'_>) {
         let reason = refusal.reason.as_str_name();
         write(
             &self.refusals,
@@ -122,14 +122,14 @@
                 ("kind", refusal.kind),
                 ("at", &Stage::Gate),
                 ("reason", &reason),
-                ("bound", &refusal.bound),
-                ("calls", &refusal.calls),
+                ("bound", &refusal.limiter),
+                ("calls", &refusal.in_flight),
             ],
         );
     }
 
     /// Notes that the answer of the own upstream to a request was lost or cannot be passed on.
-    pub(crate) fn note_loss(&self, attempt: &AttemptKey, reason: &dyn fmt::Display) {
+    pub(crate) fn log_lost_answer(&self, attempt: &AttemptKey, reason: &dyn fmt::Display) {
         write(
             &self.failures,
             attempt,
@@ -139,7 +139,7 @@
     }
 
     /// Notes what the port of the own upstream showed after the answer to a request was lost.
-    pub(crate) fn note_look(&self, attempt: &AttemptKey, finding: Finding, took: Duration) {
+    pub(crate) fn log_probe(&self, attempt: &AttemptKey, finding: Finding, took: Duration) {
         write(
             &self.failures,
             attempt,
@@ -154,7 +154,7 @@
 
     /// Notes that another node told of a crash.
     #[allow(clippy::unused_self, reason = "events are written through one service")]
-    pub(crate) fn note_evidence(&self, upstream: &str, requests: usize) {
+    pub(crate) fn log_remote_crash(&self, upstream: &str, requests: usize) {
         emit(
             &catalogue::CRASH_TOLD,
             &[("upstream", &upstream), ("requests", &requests)],
@@ -162,7 +162,7 @@
     }
 
     /// Notes that no answer of the own upstream to a request is expected any more.
-    pub(crate) fn note_silence(&self, silence: &Silence<'_>) {
+    pub(crate) fn log_missing_answer(&self, silence: &Silence<'_>) {
         write(
             &self.failures,
             silence.attempt,
@@ -171,7 +171,7 @@
                 ("request", silence.attempt),
                 ("kind", silence.kind),
                 ("waited_ms", &silence.waited.as_millis()),
-                ("usual_ms", &silence.usual.as_millis()),
+                ("usual_ms", &silence.expected.as_millis()),
                 ("overtaken", &silence.overtaken),
             ],
         );
@@ -179,8 +179,8 @@
 
     /// Notes that the own upstream ended, and what it ran. There is one such event for each life.
     #[allow(clippy::unused_self, reason = "events are written through one service")]
-    pub(crate) fn note_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
-        let named = ran.iter().take(MOST_NAMED);
+    pub(crate) fn log_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
+        let named = ran.iter().take(MAX_NAMED_REQUESTS);
         let named = named.map(|one| format!("{}:{}", one.identity.short(), one.kind));
         let named = named.collect::<Vec<_>>().join(" ");
         emit(
@@ -195,7 +195,7 @@
 
     /// Notes that nothing is held against a request any more that was on trial or in quarantine.
     #[allow(clippy::unused_self, reason = "events are written through one service")]
-    pub(crate) fn note_cleared(&self, identity: &Identity, reason: &dyn fmt::Display) {
+    pub(crate) fn log_cleared(&self, identity: &Identity, reason: &dyn fmt::Display) {
         emit(
             &catalogue::QUARANTINE_ENDED,
             &[("identity", identity), ("reason", reason)],
@@ -203,7 +203,7 @@
     }
 
     /// Notes that an attempt of a request in quarantine is refused.
-    pub(crate) fn note_held_back(&self, attempt: &AttemptKey, identity: &Identity) {
+    pub(crate) fn log_quarantine_refusal(&self, attempt: &AttemptKey, identity: &Identity) {
         write(
             &self.refusals,
             attempt,
@@ -213,7 +213,7 @@
     }
 
     /// Notes that a request is not let in for want of a key. The key itself is not known here.
-    pub(crate) fn note_key_refused(
+    pub(crate) fn log_credential_error(
         &self,
         attempt: &AttemptKey,
         kind: &KindName,
@@ -234,7 +234,7 @@
     }
 
     /// Notes that a request is sent to another upstream.
-    pub(crate) fn note_retry(&self, attempt: &AttemptKey, node: &NodeName, returned: &Response) {
+    pub(crate) fn log_retry(&self, attempt: &AttemptKey, node: &NodeName, returned: &Response) {
         let reason = returned.reason.as_str_name();
         let outcome = returned.outcome.as_str_name();
         write(
@@ -251,20 +251,20 @@
     }
 
     /// Notes that a request is refused at the entry.
-    pub(crate) fn note_refused_end(&self, end: &End<'_>) {
+    pub(crate) fn log_entry_refusal(&self, end: &Completion<'_>) {
         let reason = end.reason.as_str_name();
         let first: [Field<'_>; 5] = [
             ("request", end.attempt),
             ("kind", end.kind),
             ("at", &Stage::Entry),
             ("reason", &reason),
-            ("calls", &end.calls),
+            ("calls", &end.in_flight),
         ];
         end.write(&self.refusals, &catalogue::REQUEST_REFUSED, &first);
     }
 
     /// Notes that a request ends without an answer of an upstream.
-    pub(crate) fn note_failure(&self, end: &End<'_>) {
+    pub(crate) fn log_failure(&self, end: &Completion<'_>) {
         let reason = end.reason.as_str_name();
         let first: [Field<'_>; 4] = [
             ("request", end.attempt),
@@ -276,18 +276,23 @@
     }
 
     /// Notes that an upstream answered with a failure of its own.
-    pub(crate) fn note_bad_answer(&self, end: &End<'_>) {
+    pub(crate) fn log_error_response(&self, end: &Completion<'_>) {
         let first: [Field<'_>; 4] = [
             ("request", end.attempt),
             ("kind", end.kind),
             ("status", &end.status),
-            ("below", &end.failed_below),
+            ("below", &end.callee_failed),
         ];
         end.write(&self.failures, &catalogue::REQUEST_ANSWERED_BADLY, &first);
     }
 
     /// Notes that it is not known whether a request ran in the own upstream.
-    pub(crate) fn note_unknown(&self, attempt: &AttemptKey, kind: &KindName, reason: Reason) {
+    pub(crate) fn log_unknown_outcome(
+        &self,
+        attempt: &AttemptKey,
+        kind: &KindName,
+        reason: Reason,
+    ) {
         let reason = reason.as_str_name();
         write(
             &self.failures,
@@ -298,12 +303,12 @@
     }
 }
 
-impl End<'_> {
+impl Completion<'_> {
     /// Writes an event with its own fields and those that every end has.
     fn write(&self, sampler: &RefCell<Sampler>, entry: &Entry, first: &[Field<'_>]) {
         let node = self.trail.node();
         let node = node.as_ref().map_or("none", NodeName::as_str);
-        let after_ms = self.after.as_millis();
+        let after_ms = self.elapsed.as_millis();
         let workspace = self.workspace.map_or("", WorkspaceName::as_str);
         let rest: [Field<'_>; 6] = [
             ("node", &node),
--- a/crates/mesh/src/freshness.rs
+++ b/crates/mesh/src/freshness.rs
@@ -221,7 +221,7 @@
         }
         let age_ms = age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX));
         let entry = if is_stopped {
-            self.metrics.note_keys_outdated();
+            self.metrics.record_keys_outdated();
             &catalogue::KEYS_OUTDATED
         } else {
             &catalogue::KEYS_CURRENT
--- a/crates/mesh/src/gate/builder.rs
+++ b/crates/mesh/src/gate/builder.rs
@@ -20,7 +20,7 @@
 use crate::events::Events;
 use crate::metrics::Metrics;
 use crate::quarantine::Quarantine;
-use crate::wake::Wake;
+use crate::suspension;
 
 /// Builds a gate from the services that it uses.
 pub(crate) struct Builder {
@@ -34,9 +34,9 @@
         target: SocketAddr,
         dialect: Rc<dyn Dialect>,
         upstream: Rc<Upstream>,
-        (quarantine, wake): (Rc<Quarantine>, Rc<Wake>),
+        (quarantine, suspension): (Rc<Quarantine>, Rc<suspension::Detector>),
     ) -> Self {
-        let rules = crate::node::ADMISSION_RULES;
+        let rules = crate::node::ADMISSION_CONFIG;
         let (room, kept) = Room::new();
         task::spawn("room of the upstream", Rc::clone(&room).free_in_time(kept));
         let gate = Gate {
@@ -55,7 +55,7 @@
             pool: Pool::new(target),
             watcher: Watcher::new(target),
             quarantine,
-            wake,
+            suspension,
             trials: Single::default(),
             in_flight: Rc::default(),
         };
--- a/crates/mesh/src/gate/loss.rs
+++ b/crates/mesh/src/gate/loss.rs
@@ -46,7 +46,7 @@
     async fn look(&self, attempt: &AttemptKey) -> bool {
         let began = Instant::now();
         let finding = self.watcher.look().await;
-        self.events.note_look(attempt, finding, began.elapsed());
+        self.events.log_probe(attempt, finding, began.elapsed());
         finding == Finding::Refused
     }
 
@@ -85,7 +85,7 @@
             let doubted = || gate.watcher.doubted(clock::now());
             let finding = port::watch(gate.watcher.target(), || doubted().is_some()).await;
             drop(turn);
-            gate.events.note_look(&attempt, finding, began.elapsed());
+            gate.events.log_probe(&attempt, finding, began.elapsed());
             // It may be a later life than the one whose loss began the watch.
             if let Some(upstream) = doubted().filter(|_| finding == Finding::Refused) {
                 gate.note_crash(&upstream);
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -39,12 +39,12 @@
 use crate::clock;
 use crate::contexts::Contexts;
 use crate::dialect::Dialect;
-use crate::events::{Bound, Events};
+use crate::events::{Events, Limiter};
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::metrics::{Metrics, Stage};
 use crate::quarantine::Quarantine;
 use crate::request::{Request, Response};
-use crate::wake::Wake;
+use crate::suspension;
 pub(crate) use builder::Builder;
 use crash::Watcher;
 use entered::Entered;
@@ -80,7 +80,7 @@
     pool: Pool,
     watcher: Watcher,
     quarantine: Rc<Quarantine>,
-    wake: Rc<Wake>,
+    suspension: Rc<suspension::Detector>,
     /// A request that may end the upstream runs there alone among such requests.
     trials: Single,
     in_flight: Rc<Cell<usize>>,
@@ -108,10 +108,11 @@
         returned.body.hold(held);
         let pressure = self.admission.pressure(Instant::now(), class);
         if returned.outcome == Outcome::Unknown {
-            self.events.note_unknown(&attempt, &kind, returned.reason);
+            self.events
+                .log_unknown_outcome(&attempt, &kind, returned.reason);
         }
         self.metrics
-            .note_end(Stage::Gate, &kind, returned.outcome, returned.reason);
+            .record_completion(Stage::Gate, &kind, returned.outcome, returned.reason);
         Response {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
@@ -125,7 +126,7 @@
         if self.upstream.is_closed() {
             return self.refuse(&work, Reason::Draining);
         }
-        self.wake.news().await;
+        self.suspension.catch_up().await;
         // Its sender may not know yet what this node knows.
         if self.quarantine.standing(&work.identity).is_quarantined() {
             return self.refuse(&work, Reason::Quarantined);
@@ -165,7 +166,7 @@
             .admission
             .enter_in_class(work.class, work.rank, work.is_nested, work.time_left())
             .await;
-        let permit = permit.map_err(|reason| self.refuse_at(work, reason, Bound::Queue))?;
+        let permit = permit.map_err(|reason| self.refuse_at(work, reason, Limiter::Queue))?;
         let Some(upstream) = self.open_upstream(work, Instant::now()) else {
             return Err(self.refuse(work, Reason::Draining));
         };
--- a/crates/mesh/src/gate/refusal.rs
+++ b/crates/mesh/src/gate/refusal.rs
@@ -6,35 +6,35 @@
 use sailtrack_wire::Reason;
 
 use super::Gate;
-use crate::events::{Bound, Refusal};
+use crate::events::{Limiter, Refusal};
 use crate::request::{Request, Response};
 use crate::retry_after;
 
 impl Gate {
     pub(super) fn hold_back(&self, work: &Request, hold: Rejection) -> Response {
         match hold {
-            Rejection::Window => self.refuse_at(work, Reason::Overload, Bound::Window),
+            Rejection::Window => self.refuse_at(work, Reason::Overload, Limiter::Window),
             Rejection::Breaker => Response {
                 absent_below: true,
-                ..self.refuse_at(work, Reason::NoUpstream, Bound::Path)
+                ..self.refuse_at(work, Reason::NoUpstream, Limiter::Breaker)
             },
         }
     }
 
     pub(super) fn refuse(&self, work: &Request, reason: Reason) -> Response {
-        self.refuse_at(work, reason, Bound::Nothing)
+        self.refuse_at(work, reason, Limiter::None)
     }
 
-    pub(super) fn refuse_at(&self, work: &Request, reason: Reason, bound: Bound) -> Response {
-        self.events.note_refusal(&Refusal {
+    pub(super) fn refuse_at(&self, work: &Request, reason: Reason, limiter: Limiter) -> Response {
+        self.events.log_gate_refusal(&Refusal {
             attempt: &work.attempt,
             kind: &work.kind,
             reason,
-            bound,
-            calls: self.admission.in_flight() + self.admission.waiting(),
+            limiter,
+            in_flight: self.admission.in_flight() + self.admission.waiting(),
         });
-        let after = match (bound, reason) {
-            (Bound::Path, _) => retry_after::no_upstream(),
+        let after = match (limiter, reason) {
+            (Limiter::Breaker, _) => retry_after::no_upstream(),
             (_, Reason::OnTrial) => retry_after::trial(),
             _ => retry_after::overload(self.admission.retry_spread(Instant::now())),
         };
--- a/crates/mesh/src/gate/room.rs
+++ b/crates/mesh/src/gate/room.rs
@@ -19,7 +19,7 @@
 use sailtrack_net::task;
 use sailtrack_units::{Moment, Rank};
 
-use crate::clock::{self, LAST_LOOK};
+use crate::clock::{self, READ_GRACE};
 
 /// What was sent this long before an answer came is taken to have been read by the upstream when it
 /// wrote that: it is many times the way there.
@@ -69,7 +69,7 @@
             let room = Rc::clone(&self);
             task::spawn("kept room", async move {
                 // It is over with the time.
-                let _ = clock::until(until, std::future::pending::<()>()).await;
+                let _ = clock::timeout_at(until, std::future::pending::<()>()).await;
                 if room.free(number) {
                     note_freed(1, "time", 0, room.open.borrow().len());
                 }
@@ -101,7 +101,7 @@
         }
         let (room, number) = (Rc::clone(self), answered.number.get());
         task::spawn("told room", async move {
-            sleep(LAST_LOOK).await;
+            sleep(READ_GRACE).await;
             room.settle(told, number, came);
         });
     }
--- a/crates/mesh/src/gate/room/tests.rs
+++ b/crates/mesh/src/gate/room/tests.rs
@@ -11,7 +11,7 @@
 
 use super::{READ_TIME, Room, Stay};
 use crate::clock;
-use crate::node::ADMISSION_RULES;
+use crate::node::ADMISSION_CONFIG;
 
 const LEFT: Duration = Duration::from_secs(5);
 
@@ -22,7 +22,7 @@
 
 impl Upstream {
     fn with_slots(slots: u32) -> Self {
-        let admission = Rc::new(Admission::new(ADMISSION_RULES, Instant::now()));
+        let admission = Rc::new(Admission::new(ADMISSION_CONFIG, Instant::now()));
         admission.declare_limit(Limit::Fixed(slots));
         let (room, kept) = Room::new();
         task::spawn("room", Rc::clone(&room).free_in_time(kept));
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -38,7 +38,7 @@
         let exchange = until_ended(exchange, entered.ended.clone());
         let sent = self.begin_wait(work, entered);
         let result = self
-            .wait_for(&sent, &entry.context, clock::until(until, exchange))
+            .wait_for(&sent, &entry.context, clock::timeout_at(until, exchange))
             .await;
         sent.note_end(&result, entered);
         let returned = match result {
@@ -92,7 +92,7 @@
         }
         if PROMISES.contains(&head.status) {
             let reason = "a status that promises what the upstream does not say";
-            self.events.note_loss(&work.attempt, &reason);
+            self.events.log_lost_answer(&work.attempt, &reason);
             return Response::unknown(Reason::Connection);
         }
         Response::answered(head.status, passed_on(&head), body)
@@ -104,7 +104,7 @@
         upstream: &UpstreamKey,
         error: &ExchangeError,
     ) -> Response {
-        self.events.note_loss(&work.attempt, error);
+        self.events.log_lost_answer(&work.attempt, error);
         if matches!(error, ExchangeError::Late) {
             return Response::refused(Reason::Deadline);
         }
--- a/crates/mesh/src/gate/silence.rs
+++ b/crates/mesh/src/gate/silence.rs
@@ -14,7 +14,7 @@
 use super::exchange::{ExchangeError, UpstreamAnswer};
 use super::kinds::{Kind, Open};
 use super::patience::{Decision, Waiting};
-use crate::clock::{self, LAST_LOOK, Late};
+use crate::clock::{self, Elapsed, READ_GRACE};
 use crate::contexts::Context;
 use crate::events::Silence;
 use crate::key::AttemptKey;
@@ -27,7 +27,7 @@
 const TELL_AHEAD: Duration = Duration::from_millis(25);
 
 /// What an exchange ends with, if it does in time.
-type Exchanged = Result<Result<UpstreamAnswer, ExchangeError>, Late>;
+type Exchanged = Result<Result<UpstreamAnswer, ExchangeError>, Elapsed>;
 
 /// What came of waiting.
 pub(super) enum Waited {
@@ -62,7 +62,7 @@
             // An upstream stops at the deadline that it was told.
             Waited::Over(_) => entered.stay.end(),
         }
-        if matches!(end, Waited::Silent | Waited::Over(Err(Late))) {
+        if matches!(end, Waited::Silent | Waited::Over(Err(Elapsed))) {
             self.kind.note_silent(true, Instant::now());
         }
     }
@@ -134,7 +134,7 @@
                 }
                 Decision::GiveUp if !is_second_look => {
                     is_second_look = true;
-                    sleep(LAST_LOOK).await;
+                    sleep(READ_GRACE).await;
                 }
                 Decision::GiveUp => {
                     self.note_silence(sent, &waiting);
@@ -167,12 +167,12 @@
         if !waiting.is_passed_over() {
             sent.open.note_doubt(Instant::now());
         }
-        self.metrics.note_unanswered();
-        self.events.note_silence(&Silence {
+        self.metrics.record_unanswered();
+        self.events.log_missing_answer(&Silence {
             attempt: sent.attempt,
             kind: sent.name,
             waited: waiting.waited,
-            usual: waiting.usual.map_or(Duration::ZERO, |usual| usual.longest),
+            expected: waiting.usual.map_or(Duration::ZERO, |usual| usual.longest),
             overtaken: waiting.overtaken,
         });
     }
@@ -185,10 +185,10 @@
     is_silent: &Cell<bool>,
     mut receiver: oneshot::Receiver<Response>,
 ) -> Result<Response, oneshot::Canceled> {
-    let told = clock::until(deadline.before(TELL_AHEAD), &mut receiver).await;
+    let told = clock::timeout_at(deadline.before(TELL_AHEAD), &mut receiver).await;
     match told {
         Ok(returned) => returned,
-        Err(Late) if is_silent.get() => Ok(Response::unknown(sailtrack_wire::Reason::Deadline)),
-        Err(Late) => receiver.await,
+        Err(Elapsed) if is_silent.get() => Ok(Response::unknown(sailtrack_wire::Reason::Deadline)),
+        Err(Elapsed) => receiver.await,
     }
 }
--- a/crates/mesh/src/gate/upstream/tests.rs
+++ b/crates/mesh/src/gate/upstream/tests.rs
@@ -10,7 +10,7 @@
 use crate::dialect::{Heartbeat, Readiness};
 use crate::gate::upstream::{SILENCE, Upstream, limit};
 use crate::key::UpstreamKey;
-use crate::node::ADMISSION_RULES;
+use crate::node::ADMISSION_CONFIG;
 use crate::retired::Retired;
 
 const FIRST: u64 = 1_790_000_000_000;
@@ -40,7 +40,7 @@
 }
 
 fn upstream(now: Instant) -> Upstream {
-    let admission = Rc::new(Admission::new(ADMISSION_RULES, now));
+    let admission = Rc::new(Admission::new(ADMISSION_CONFIG, now));
     Upstream::new(admission, Rc::new(Retired::default()))
 }
 
--- a/crates/mesh/src/gossip.rs
+++ b/crates/mesh/src/gossip.rs
@@ -45,7 +45,7 @@
     }
 
     fn local_member(&self) -> MemberMessage {
-        self.status.member()
+        self.status.local_member()
     }
 
     fn handle_presence(&self, from: &NodeName, presence: &Presence) {
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -37,7 +37,7 @@
 mod settings;
 mod status;
 mod store;
-mod wake;
+mod suspension;
 mod watch;
 
 use sailtrack_kernel::Error;
@@ -49,16 +49,16 @@
 };
 pub use dialect::{Announcement, Dialect, DialectError, FieldNames, Heartbeat, Load, Readiness};
 pub use key::{AttemptKey, KeyError, UpstreamKey};
-pub use node::Surroundings;
+pub use node::Environment;
 pub use settings::{Ports, RetryBounds, Settings};
 pub use store::{
     Content, Lookup, Operation, Row, Rows, Store, StoreError, StoreTime, StoreVersion, Table,
 };
 
 /// Runs a node until it is stopped.
-pub fn run(settings: Settings, surroundings: Surroundings) -> Result<(), Error> {
+pub fn run(settings: Settings, environment: Environment) -> Result<(), Error> {
     sailtrack_log::install_to(Destination::Stdout, settings.log_level);
-    let result = sailtrack_net::runtime::run(node::run(settings, surroundings));
+    let result = sailtrack_net::runtime::run(node::run(settings, environment));
     sailtrack_log::finish();
     result.map_err(Error::Runtime)?
 }
--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -74,7 +74,7 @@
 
 /// What is shown of the upstream beside another node.
 #[derive(Debug, Clone)]
-pub(crate) struct Shown {
+pub(crate) struct Sample {
     pub(crate) node: NodeName,
     pub(crate) service: ServiceName,
     /// How many times as long as the others of its service it takes.
@@ -150,7 +150,13 @@
     }
 
     /// Notes how a request ended.
-    pub(crate) fn note_end(&self, stage: Stage, kind: &KindName, outcome: Outcome, reason: Reason) {
+    pub(crate) fn record_completion(
+        &self,
+        stage: Stage,
+        kind: &KindName,
+        outcome: Outcome,
+        reason: Reason,
+    ) {
         let labels = EndLabels {
             place: stage.to_string(),
             kind: kind.to_string(),
@@ -161,55 +167,55 @@
     }
 
     /// Notes that a message about the own upstream was refused.
-    pub(crate) fn note_refused_announcement(&self) {
+    pub(crate) fn record_refused_announcement(&self) {
         self.counters.refused_announcements.inc();
     }
 
     /// Notes that the own upstream crashed.
-    pub(crate) fn note_crash(&self) {
+    pub(crate) fn record_crash(&self) {
         self.counters.crashes.inc();
     }
 
     /// Notes that a request was put into quarantine.
-    pub(crate) fn note_verdict(&self) {
+    pub(crate) fn record_quarantine(&self) {
         self.counters.verdicts.inc();
     }
 
     /// Notes that a request was not let in for want of a key.
-    pub(crate) fn note_key_refused(&self) {
+    pub(crate) fn record_credential_error(&self) {
         self.counters.refused_keys.inc();
     }
 
     /// Notes that requests with keys are refused from now on.
-    pub(crate) fn note_keys_outdated(&self) {
+    pub(crate) fn record_keys_outdated(&self) {
         self.counters.outdated_keys.inc();
     }
 
     /// Notes that a request was refused since its workspace asks more than it may.
-    pub(crate) fn note_over_quota(&self) {
+    pub(crate) fn record_over_quota(&self) {
         self.counters.over_quota.inc();
     }
 
     /// Notes that no answer of the own upstream to a request is expected any more.
-    pub(crate) fn note_unanswered(&self) {
+    pub(crate) fn record_unanswered(&self) {
         self.counters.unanswered.inc();
     }
 
     /// Notes a request that was begun before those ahead of it were answered, with which its
     /// connection has `depth`.
-    pub(crate) fn note_pipelined(&self, depth: usize) {
+    pub(crate) fn record_pipelined(&self, depth: usize) {
         self.pipelined
             .observe(f64::from(u32::try_from(depth).unwrap_or(u32::MAX)));
     }
 
     /// Notes requests that count as not read.
-    pub(crate) fn note_unread(&self, count: usize) {
+    pub(crate) fn record_unread(&self, count: usize) {
         self.counters.unread.inc_by(count as u64);
     }
 
     /// Notes how a request of a client ended after `time`.
-    pub(crate) fn note_answer(&self, kind: &KindName, returned: &Response, time: Duration) {
-        self.note_end(Stage::Entry, kind, returned.outcome, returned.reason);
+    pub(crate) fn record_answer(&self, kind: &KindName, returned: &Response, time: Duration) {
+        self.record_completion(Stage::Entry, kind, returned.outcome, returned.reason);
         let labels = KindLabels {
             kind: kind.to_string(),
         };
@@ -218,7 +224,7 @@
     }
 
     /// Notes that a request is sent to a service once more.
-    pub(crate) fn note_repeat(&self, service: &ServiceName) {
+    pub(crate) fn record_retry(&self, service: &ServiceName) {
         let labels = ServiceLabels {
             service: service.to_string(),
         };
@@ -226,7 +232,7 @@
     }
 
     /// Notes that a request leaves the failure domain, though that has upstreams of the service.
-    pub(crate) fn note_left_domain(&self, service: &ServiceName) {
+    pub(crate) fn record_other_domain(&self, service: &ServiceName) {
         let labels = ServiceLabels {
             service: service.to_string(),
         };
@@ -234,7 +240,7 @@
     }
 
     /// Forgets the counts of kinds when too many have been seen, as routes come and go.
-    pub(crate) fn bound(&self, kinds: usize) {
+    pub(crate) fn limit_kinds(&self, kinds: usize) {
         if kinds > MOST_KINDS {
             self.ended.clear();
             self.times.clear();
@@ -242,7 +248,7 @@
     }
 
     /// Shows what is known of upstreams to which requests were sent, and of no others.
-    pub(crate) fn show(&self, upstreams: &[Shown]) {
+    pub(crate) fn set_upstreams(&self, upstreams: &[Sample]) {
         self.slowness.clear();
         self.pace.clear();
         for shown in upstreams.iter().take(MOST_UPSTREAMS) {
@@ -257,8 +263,8 @@
     }
 
     /// Returns everything in the text format of Prometheus.
-    pub(crate) fn text(&self, snapshot: &Snapshot) -> String {
-        self.gauges.show(snapshot);
+    pub(crate) fn encode(&self, snapshot: &Snapshot) -> String {
+        self.gauges.set(snapshot);
         let mut text = String::new();
         // Writing to a string does not fail.
         let _ = encode(&mut text, &self.registry);
--- a/crates/mesh/src/metrics/gauges.rs
+++ b/crates/mesh/src/metrics/gauges.rs
@@ -55,7 +55,7 @@
     }
 
     /// Shows the values of this moment.
-    pub(super) fn show(&self, snapshot: &Snapshot) {
+    pub(super) fn set(&self, snapshot: &Snapshot) {
         for (gauge, value) in &self.0 {
             gauge.set(i64::try_from(value(snapshot)).unwrap_or(i64::MAX));
         }
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts the services of a mesh node together and leads it through its life.
+//! Puts the services of a mesh node together and leads it through its lifecycle.
 
 mod start;
 mod stop;
@@ -11,7 +11,7 @@
 
 use monoio::time::sleep;
 use sailtrack_admission::{Config, Policy};
-use sailtrack_kernel::{Error, Joining, Life, Table};
+use sailtrack_kernel::{Error, Joining, Lifecycle, Table};
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::terminate::{Signal, Signals};
 use sailtrack_units::Period;
@@ -28,7 +28,7 @@
 /// Who may enter an upstream. A request waits no longer than one of middle length runs; beyond
 /// that another upstream serves it sooner. A call of a request in progress waits longer: refusing
 /// it loses the calls that were made before it.
-pub(crate) const ADMISSION_RULES: Config = Config {
+pub(crate) const ADMISSION_CONFIG: Config = Config {
     policy: Policy::Adaptive,
     fixed_limit: 100,
     queue_time: Period::from_millis(100),
@@ -37,7 +37,7 @@
 };
 
 /// What a mesh node meets in the place where it runs.
-pub struct Surroundings {
+pub struct Environment {
     /// The names and formats there.
     pub dialect: Rc<dyn Dialect>,
     /// The store there.
@@ -45,12 +45,12 @@
 }
 
 /// Runs a node from its start to its planned stop.
-pub(crate) async fn run(settings: Settings, surroundings: Surroundings) -> Result<(), Error> {
+pub(crate) async fn run(settings: Settings, environment: Environment) -> Result<(), Error> {
     let mut signals = Signals::install().map_err(Error::Signal)?;
-    let life = Life::<Joining>::default();
+    let lifecycle = Lifecycle::<Joining>::default();
     let in_flight = Rc::new(Cell::new(0));
     let table = Rc::new(Table::default());
-    start::start(&table, &settings, &surroundings, &life, &in_flight)?;
+    start::start(&table, &settings, &environment, &lifecycle, &in_flight)?;
     let name = settings.identity.name.to_string();
     emit(
         &catalogue::PROCESS_STARTED,
@@ -71,12 +71,12 @@
         }
     };
     if is_configured {
-        let life = life.serve();
+        let lifecycle = lifecycle.serve();
         start::publish(&table)?;
         stop::wait_for_stop(&mut signals, &reload).await?;
-        stop::drain(&table, life.drain(), &in_flight).await?;
+        stop::drain(&table, lifecycle.drain(), &in_flight).await?;
     } else {
-        let _stopped = life.abandon();
+        let _stopped = lifecycle.abandon();
     }
     emit(&catalogue::PROCESS_STOPPED, &[("process", &name)]);
     Ok(())
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -9,7 +9,7 @@
 use futures::channel::mpsc;
 use monoio::net::TcpListener;
 use sailtrack_admission::{Admission, Windows};
-use sailtrack_kernel::{Error, Joining, Life, Missing, Table};
+use sailtrack_kernel::{Error, Joining, Lifecycle, Missing, Table};
 use sailtrack_net::http::{Limits, Port, serve};
 use sailtrack_net::task;
 
@@ -25,20 +25,20 @@
 use crate::gossip::Handler;
 use crate::incarnation;
 use crate::metrics::Metrics;
-use crate::node::{ADMISSION_RULES, Surroundings, store, tasks};
+use crate::node::{ADMISSION_CONFIG, Environment, store, tasks};
 use crate::peer::{Acceptor, Delegate, Peers};
 use crate::quarantine::Quarantine;
 use crate::quota::{Node as QuotaNode, Quotas};
-use crate::ready::ReadyPort;
+use crate::ready;
 use crate::reload::Reload;
 use crate::retired::Retired;
 use crate::retry::Budget;
 use crate::routing::{Routing, Statistics};
-use crate::scrape::MetricsPort;
+use crate::scrape;
 use crate::settings::Settings;
 use crate::status::Status;
 use crate::store::{Clock, Reachability};
-use crate::wake::Wake;
+use crate::suspension;
 use crate::watch::Watch;
 
 /// How many nodes with a newer configuration wait to be asked.
@@ -57,23 +57,23 @@
 pub(super) fn start(
     table: &Rc<Table>,
     settings: &Settings,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let sockets = open(settings)?;
     let (wanted, wishes) = mpsc::channel(1);
-    install_state(table, settings, surroundings, life, wanted)?;
+    install_state(table, settings, environment, lifecycle, wanted)?;
     let providers = install_network(table, settings)?;
-    install_path(table, settings, surroundings, in_flight)?;
-    install_intake(table, settings, surroundings, life, in_flight)?;
+    install_path(table, settings, environment, in_flight)?;
+    install_intake(table, settings, environment, lifecycle, in_flight)?;
     tasks::listen(table, settings)?;
     tasks::follow_settings(table)?;
-    tasks::keep_quotas(table, surroundings, wishes)?;
+    tasks::keep_quotas(table, environment, wishes)?;
     tasks::ramp_up_together(table)?;
-    store::follow_store(table, settings, surroundings)?;
+    store::follow_store(table, settings, environment)?;
     tasks::meet_peers(table, providers)?;
-    start_ports(table, surroundings, life, sockets)
+    start_ports(table, environment, lifecycle, sockets)
 }
 
 /// Tells other nodes at once what this one is like.
@@ -117,8 +117,8 @@
 fn install_state(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
     wanted: mpsc::Sender<()>,
 ) -> Result<(), Error> {
     let identity = &settings.identity;
@@ -132,8 +132,8 @@
     table.install(Windows::default());
     table.install(Splitter::default());
     table.install(Budget::new(settings.retry));
-    table.install(Admission::new(ADMISSION_RULES, Instant::now()));
-    table.install(Current::new(Rc::clone(&surroundings.dialect)));
+    table.install(Admission::new(ADMISSION_CONFIG, Instant::now()));
+    table.install(Current::new(Rc::clone(&environment.dialect)));
     table.install(Upstream::new(table.find()?, table.find()?));
     table.install(Directory::new(Member {
         name: identity.name.clone(),
@@ -147,11 +147,11 @@
         table.find()?,
         settings.revoke_time.map(|time| time.0),
     ));
-    let life_number = incarnation::generate();
+    let incarnation = incarnation::generate();
     table.install(Quotas::new(
         QuotaNode {
             name: identity.name.clone(),
-            incarnation: life_number,
+            incarnation,
             domain: identity.domain.clone(),
         },
         settings.quota,
@@ -159,14 +159,14 @@
         wanted,
     ));
     table.install(Status {
-        life: life_number,
-        phase: life.watch(),
+        incarnation,
+        phase: lifecycle.phase(),
         directory: table.find()?,
         upstream: table.find()?,
         admission: table.find()?,
         current: table.find()?,
         retired: table.find()?,
-        reach: table.find()?,
+        reachability: table.find()?,
         freshness: table.find()?,
         clock: table.find()?,
         quota_term: Cell::new(0),
@@ -191,7 +191,7 @@
     let domain = settings.identity.domain.clone();
     let peers = Peers::new(settings.ports.peer.ip(), domain, listener);
     let peers = table.install(peers);
-    table.install(Wake::new(Rc::clone(&peers)));
+    table.install(suspension::Detector::new(Rc::clone(&peers)));
     let identity = &settings.identity;
     table.install(Watch::new(
         &identity.name,
@@ -208,11 +208,11 @@
 fn install_path(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
+    environment: &Environment,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let identity = &settings.identity;
-    let dialect = &surroundings.dialect;
+    let dialect = &environment.dialect;
     let gate = GateBuilder::new(
         identity.service.clone(),
         settings.upstream,
@@ -242,7 +242,7 @@
         gate: table.find()?,
         budget: table.find()?,
         quarantine: table.find()?,
-        wake: table.find()?,
+        suspension: table.find()?,
         directory: table.find()?,
         events: table.find()?,
         metrics: table.find()?,
@@ -254,15 +254,15 @@
 fn install_intake(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let identity = &settings.identity;
-    let dialect = &surroundings.dialect;
+    let dialect = &environment.dialect;
     table.install(Entry {
         dialect: Rc::clone(dialect),
-        phase: life.watch(),
+        phase: lifecycle.phase(),
         service: identity.service.clone(),
         current: table.find()?,
         splitter: table.find()?,
@@ -275,7 +275,7 @@
         in_flight: Rc::clone(in_flight),
         memory: Memory::new(settings.body_memory()),
         pending_response_bytes: Rc::default(),
-        max_pending_response_bytes: Cell::new(settings.ready_memory()),
+        max_pending_response_bytes: Cell::new(settings.pending_response_memory()),
         is_closed: Cell::new(false),
         connections: Rc::default(),
     });
@@ -291,7 +291,7 @@
     });
     table.install(Announcements {
         dialect: Rc::clone(dialect),
-        store: Rc::clone(&surroundings.store),
+        store: Rc::clone(&environment.store),
         upstream: table.find()?,
         retired: table.find()?,
         clock: table.find()?,
@@ -309,18 +309,18 @@
 
 fn start_ports(
     table: &Table,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
     sockets: Sockets,
 ) -> Result<(), Error> {
-    let ready = Rc::new(ReadyPort {
-        dialect: Rc::clone(&surroundings.dialect),
-        phase: life.watch(),
+    let ready = Rc::new(ready::Endpoint {
+        dialect: Rc::clone(&environment.dialect),
+        phase: lifecycle.phase(),
         current: table.find()?,
     });
     let announcements = Rc::new(Endpoint(table.find()?));
     if let Some(port) = sockets.metrics {
-        let metrics = Rc::new(MetricsPort {
+        let metrics = Rc::new(scrape::Endpoint {
             metrics: table.find()?,
             contexts: table.find()?,
             admission: table.find()?,
--- a/crates/mesh/src/node/stop.rs
+++ b/crates/mesh/src/node/stop.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use monoio::time::sleep;
-use sailtrack_kernel::{Draining, Error, Life, Table};
+use sailtrack_kernel::{Draining, Error, Lifecycle, Table};
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::task;
 use sailtrack_net::terminate::Signals;
@@ -45,7 +45,7 @@
 /// Tells everybody that the node leaves, and ends once nothing is in flight.
 pub(super) async fn drain(
     table: &Table,
-    life: Life<Draining>,
+    lifecycle: Lifecycle<Draining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     emit(
@@ -81,6 +81,6 @@
             break;
         }
     }
-    let _stopped = life.stop();
+    let _stopped = lifecycle.stop();
     Ok(())
 }
--- a/crates/mesh/src/node/store.rs
+++ b/crates/mesh/src/node/store.rs
@@ -19,7 +19,7 @@
 use crate::configuration::{Current, Source};
 use crate::directory::{Directory, Member};
 use crate::freshness::Freshness;
-use crate::node::Surroundings;
+use crate::node::Environment;
 use crate::settings::Settings;
 use crate::status::Status;
 use crate::store::{
@@ -164,13 +164,13 @@
 pub(super) fn follow_store(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
+    environment: &Environment,
 ) -> Result<(), Error> {
-    keep_own_row(table, surroundings)?;
-    follow_configuration(table, surroundings)?;
-    follow_members(table, settings, surroundings)?;
+    keep_own_row(table, environment)?;
+    follow_configuration(table, environment)?;
+    follow_members(table, settings, environment)?;
     let cleanup = remove_dead(
-        Rc::clone(&surroundings.store),
+        Rc::clone(&environment.store),
         table.find()?,
         table.find()?,
         table.find()?,
@@ -197,7 +197,7 @@
     Ok(())
 }
 
-fn follow_configuration(table: &Table, surroundings: &Surroundings) -> Result<(), Error> {
+fn follow_configuration(table: &Table, environment: &Environment) -> Result<(), Error> {
     let rows: Rc<dyn Follower> = Rc::new(ConfigurationRows {
         current: table.find()?,
         watch: table.find()?,
@@ -207,7 +207,7 @@
         read_clock: Cell::default(),
         era: Cell::default(),
     });
-    let store = Rc::clone(&surroundings.store);
+    let store = Rc::clone(&environment.store);
     let reach = table.find::<Reachability>()?;
     let following = follow(store, StoreTable::Configuration, reach, rows);
     task::spawn("configuration", following);
@@ -217,7 +217,7 @@
 fn follow_members(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
+    environment: &Environment,
 ) -> Result<(), Error> {
     let directory = table.find::<Directory>()?;
     let rows: Rc<dyn Follower> = Rc::new(MemberRows {
@@ -225,7 +225,7 @@
         watch: table.find()?,
         clock: table.find()?,
     });
-    let store = Rc::clone(&surroundings.store);
+    let store = Rc::clone(&environment.store);
     let reach = table.find::<Reachability>()?;
     let is_first = settings.first_start;
     task::spawn("members", async move {
@@ -240,7 +240,7 @@
 }
 
 /// Writes the own row whenever it is missing.
-fn keep_own_row(table: &Table, surroundings: &Surroundings) -> Result<(), Error> {
+fn keep_own_row(table: &Table, environment: &Environment) -> Result<(), Error> {
     let directory = table.find::<Directory>()?;
     let (lost, mut losses) = mpsc::channel(1);
     let lost = RefCell::new(lost);
@@ -248,7 +248,7 @@
         // A full channel holds the same news.
         let _ = lost.borrow_mut().try_send(());
     });
-    let store = Rc::clone(&surroundings.store);
+    let store = Rc::clone(&environment.store);
     task::spawn("own row", async move {
         while losses.next().await.is_some() {
             write_row(&*store, directory.own()).await;
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -17,13 +17,13 @@
 use crate::gate::{Gate, Upstream};
 use crate::gossip::publish_periodically;
 use crate::metrics::Metrics;
-use crate::node::Surroundings;
+use crate::node::Environment;
 use crate::peer::Peers;
 use crate::quota::{Election, Fetcher as TokenFetcher, Quotas};
 use crate::reload::{Parts, Reload};
 use crate::settings::Settings;
 use crate::status::Status;
-use crate::wake::Wake;
+use crate::suspension;
 
 /// A node that has run for no longer, among others that have run for no longer, is one of many
 /// that were started at once, and their clients come back at once. One that is started anew while
@@ -57,7 +57,7 @@
     let metrics = table.find::<Metrics>()?;
     let counted = Rc::clone(&current);
     current.on_change(move || {
-        metrics.bound(counted.get().map_or(0, |current| current.route_count()));
+        metrics.limit_kinds(counted.get().map_or(0, |current| current.route_count()));
     });
     let status = table.find::<Status>()?;
     let told = Rc::clone(&status);
@@ -82,7 +82,7 @@
 /// Starts what keeps the limits of workspaces.
 pub(super) fn keep_quotas(
     table: &Table,
-    surroundings: &Surroundings,
+    environment: &Environment,
     wishes: mpsc::Receiver<()>,
 ) -> Result<(), Error> {
     let current = table.find::<Current>()?;
@@ -103,7 +103,7 @@
         peers: table.find()?,
         watch: table.find()?,
         status: table.find()?,
-        store: Rc::clone(&surroundings.store),
+        store: Rc::clone(&environment.store),
         started: Instant::now(),
         last_renewal: Cell::default(),
         missing_since: Cell::default(),
@@ -119,7 +119,7 @@
     let windows = table.find::<Windows>()?;
     let upstream = table.find::<Upstream>()?;
     let peers = table.find::<Peers>()?;
-    let life = table.find::<Status>()?.life;
+    let incarnation = table.find::<Status>()?.incarnation;
     let started = Instant::now();
     table.find::<Upstream>()?.on_new_incarnation(move || {
         if started.elapsed() > YOUNG_TIME {
@@ -129,7 +129,7 @@
         let (windows, peers) = (Rc::clone(&windows), Rc::clone(&peers));
         task::spawn("ramp up", async move {
             while started.elapsed() < YOUNG_TIME {
-                if peers.majority_started_before(life, YOUNG_TIME) {
+                if peers.majority_started_before(incarnation, YOUNG_TIME) {
                     windows.end_ramp_up();
                     return;
                 }
@@ -145,7 +145,7 @@
     let status = table.find::<Status>()?;
     let directory = table.find::<Directory>()?;
     task::spawn("presence", publish_periodically(status, directory));
-    task::spawn("wake", table.find::<Wake>()?.keep_looking());
+    task::spawn("wake", table.find::<suspension::Detector>()?.run());
     let fetch = Fetcher {
         peers: table.find()?,
         current: table.find()?,
--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -100,8 +100,8 @@
             Err(_) => return refuse(&"no hello in time"),
         };
         self.meet(&said);
-        let introduction = Body::Presence(self.status.introduction());
-        let welcome = [hello(self.status.member()), introduction];
+        let introduction = Body::Presence(self.status.initial_presence());
+        let welcome = [hello(self.status.local_member()), introduction];
         let welcome = welcome.into_iter().chain(self.quarantine.snapshot());
         for message in welcome {
             if outgoing.send(message).await.is_err() {
@@ -251,7 +251,7 @@
         let acceptor = Rc::clone(self);
         let exchange = recall.exchange;
         let work = async move {
-            if Incarnation(recall.incarnation) != acceptor.status.life {
+            if Incarnation(recall.incarnation) != acceptor.status.incarnation {
                 return Response::unknown(Reason::HomeGone);
             }
             let attempt = AttemptKey::from(recall.id.as_str());
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -59,8 +59,8 @@
 
     /// Takes in that the own upstream crashed, and tells all other nodes.
     pub(crate) fn record_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
-        self.events.note_crash(upstream, ran);
-        self.metrics.note_crash();
+        self.events.log_crash(upstream, ran);
+        self.metrics.record_crash();
         let now = clock::now();
         let ledger = self.ledger.borrow();
         let ran = ran.iter().map(|one| Execution {
@@ -74,7 +74,7 @@
         ran.truncate(MOST_REPORTED);
         self.take_crash(&upstream.to_string(), &ran, is_whole);
         self.status
-            .tell(&Body::Evidence(wire::crash(upstream, &ran, is_whole)));
+            .broadcast(&Body::Evidence(wire::crash(upstream, &ran, is_whole)));
     }
 
     /// Takes in that a life of an upstream beside another node ended under requests that this one
@@ -82,7 +82,7 @@
     pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, ran: &[Execution]) {
         self.take_crash(&upstream.to_string(), ran, false);
         self.status
-            .tell(&Body::Evidence(wire::crash(upstream, ran, false)));
+            .broadcast(&Body::Evidence(wire::crash(upstream, ran, false)));
     }
 
     /// Takes in that a request was answered to its end.
@@ -92,8 +92,9 @@
             .borrow_mut()
             .record_success(identity, clock::now());
         if before.is_restricted() {
-            self.events.note_cleared(identity, &"it ended well");
-            self.status.tell(&Body::Evidence(wire::cleared(identity)));
+            self.events.log_cleared(identity, &"it ended well");
+            self.status
+                .broadcast(&Body::Evidence(wire::cleared(identity)));
         }
     }
 
@@ -106,8 +107,9 @@
     /// Clears a request on an operator's word; returns true if something was held against it.
     pub(crate) fn lift(&self, identity: &Identity) -> bool {
         let was_known = self.ledger.borrow_mut().clear(identity, clock::now());
-        self.events.note_cleared(identity, &"an operator lifted it");
-        self.status.tell(&Body::Evidence(wire::cleared(identity)));
+        self.events.log_cleared(identity, &"an operator lifted it");
+        self.status
+            .broadcast(&Body::Evidence(wire::cleared(identity)));
         was_known
     }
 
@@ -116,13 +118,13 @@
         let now = clock::now();
         let (crash, cleared, held) = wire::read(evidence);
         if let Some(crash) = crash {
-            self.events.note_evidence(&crash.life, crash.ran.len());
+            self.events.log_remote_crash(&crash.life, crash.ran.len());
             self.take_crash(&crash.life, &crash.ran, crash.is_whole);
         }
         let mut ledger = self.ledger.borrow_mut();
         for identity in &cleared {
             if ledger.clear(identity, now) {
-                self.events.note_cleared(identity, &"another node said so");
+                self.events.log_cleared(identity, &"another node said so");
             }
         }
         for record in &held {
@@ -165,7 +167,7 @@
                         ("time_s", &remaining.as_secs()),
                     ],
                 );
-                self.metrics.note_verdict();
+                self.metrics.record_quarantine();
             }
         }
     }
--- a/crates/mesh/src/quota/mod.rs
+++ b/crates/mesh/src/quota/mod.rs
@@ -252,7 +252,7 @@
     }
 
     fn note_over(&self, workspace: &WorkspaceName) {
-        self.metrics.note_over_quota();
+        self.metrics.record_over_quota();
         let now = clock::now();
         let mut logged = self.logged.borrow_mut();
         let last = logged.get(workspace).copied();
--- a/crates/mesh/src/ready.rs
+++ b/crates/mesh/src/ready.rs
@@ -11,13 +11,13 @@
 use crate::dialect::Dialect;
 
 /// Answers whether the node is ready.
-pub(crate) struct ReadyPort {
+pub(crate) struct Endpoint {
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) phase: Rc<Cell<Phase>>,
     pub(crate) current: Rc<Current>,
 }
 
-impl Handler for ReadyPort {
+impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         if !self.dialect.is_readiness_probe(&request) {
             return Response::text(StatusCode::NOT_FOUND, "nothing here\n");
--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -140,7 +140,7 @@
             changes.into_iter().partition(|change| change.is_live());
         self.tell(&next);
         let present = self.settings.borrow().clone();
-        self.settings.replace(next.with_fixed_of(present));
+        self.settings.replace(next.with_fixed_from(present));
         emit(
             &catalogue::SETTINGS_CHANGED,
             &[
@@ -161,7 +161,7 @@
         parts
             .entry
             .max_pending_response_bytes
-            .set(next.ready_memory());
+            .set(next.pending_response_memory());
         parts
             .freshness
             .set_bound(next.revoke_time.map(|time| time.0));
--- a/crates/mesh/src/reload/tests.rs
+++ b/crates/mesh/src/reload/tests.rs
@@ -67,6 +67,6 @@
     let after = settings("entry = 127.0.0.1:1", "entry = 127.0.0.1:9");
     assert_eq!(between(&before, &after), [Change::Ports]);
     assert!(!Change::Ports.is_live());
-    let kept = after.with_fixed_of(before.clone());
+    let kept = after.with_fixed_from(before.clone());
     assert_eq!(kept.ports, before.ports);
 }
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -90,7 +90,7 @@
         };
         let (side, place) = choose(&sides, &need, &mut rand::rng())?;
         if side == Locality::OtherDomain && sides.same_domain > 0 {
-            self.metrics.note_left_domain(&work.service);
+            self.metrics.record_other_domain(&work.service);
         }
         let link = link(&placed, side, place);
         Some(link.map_or(Target::Local, |link| Target::Remote(Rc::clone(link))))
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -16,7 +16,7 @@
 use crate::entry::Entry;
 use crate::freshness::Freshness;
 use crate::gate::{Records, Upstream};
-use crate::metrics::{Metrics, Shown, Snapshot};
+use crate::metrics::{Metrics, Sample, Snapshot};
 use crate::peer::Peers;
 use crate::quarantine::Quarantine;
 use crate::status::Status;
@@ -31,7 +31,7 @@
     /quarantine; DELETE /quarantine/IDENTITY clears one on all nodes\n";
 
 /// Answers scrapes.
-pub(crate) struct MetricsPort {
+pub(crate) struct Endpoint {
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) contexts: Rc<Contexts>,
     pub(crate) admission: Rc<Admission>,
@@ -47,7 +47,7 @@
     pub(crate) status: Rc<Status>,
 }
 
-impl Handler for MetricsPort {
+impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         match (&request.method, request.path.as_str()) {
             (_, COUNTERS) => Response::text(StatusCode::OK, self.counters()),
@@ -58,7 +58,7 @@
     }
 }
 
-impl MetricsPort {
+impl Endpoint {
     fn counters(&self) -> String {
         let (suspects, quarantined) = self.quarantine.counts();
         let age = self.freshness.age(clock::now());
@@ -84,17 +84,17 @@
                 .pace(clock::now())
                 .map_or(0, Pace::percent),
         };
-        self.metrics.show(&self.upstreams());
-        self.metrics.text(&snapshot)
+        self.metrics.set_upstreams(&self.upstreams());
+        self.metrics.encode(&snapshot)
     }
 
     /// Returns what is known of the upstreams to which this node sent requests.
-    fn upstreams(&self) -> Vec<Shown> {
+    fn upstreams(&self) -> Vec<Sample> {
         let now = Instant::now();
         let used = self.peers.with_known_load();
         let shown = used.iter().map(|link| {
             let (slowness, pace) = link.load.borrow().slowness_and_pace(now);
-            Shown {
+            Sample {
                 node: link.member.name.clone(),
                 service: link.member.service.clone(),
                 slowness,
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -113,12 +113,12 @@
 
     /// Returns how much memory finished answers may take up before connections begin requests one
     /// at a time.
-    pub(crate) fn ready_memory(&self) -> usize {
+    pub(crate) fn pending_response_memory(&self) -> usize {
         self.memory.as_usize() / READY_SHARE
     }
 
     /// Returns these settings with those of `other` that only a start can change.
-    pub(crate) fn with_fixed_of(self, other: Self) -> Self {
+    pub(crate) fn with_fixed_from(self, other: Self) -> Self {
         Self {
             identity: other.identity,
             ports: other.ports,
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -25,14 +25,14 @@
 
 /// What this node tells others about itself, and to whom.
 pub(crate) struct Status {
-    pub(crate) life: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) phase: Rc<Cell<Phase>>,
     pub(crate) directory: Rc<Directory>,
     pub(crate) upstream: Rc<Upstream>,
     pub(crate) admission: Rc<Admission>,
     pub(crate) current: Rc<Current>,
     pub(crate) retired: Rc<Retired>,
-    pub(crate) reach: Rc<Reachability>,
+    pub(crate) reachability: Rc<Reachability>,
     pub(crate) freshness: Rc<Freshness>,
     pub(crate) clock: Rc<Clock>,
     /// The term of this node as the allocator of its failure domain's tokens; zero if it is not.
@@ -46,9 +46,9 @@
 
 impl Status {
     /// Returns what a connection begins with.
-    pub(crate) fn member(&self) -> MemberMessage {
+    pub(crate) fn local_member(&self) -> MemberMessage {
         let own = self.directory.own();
-        own.to_wire(self.life, self.state(), self.upstream.slots())
+        own.to_wire(self.incarnation, self.state(), self.upstream.slots())
     }
 
     /// Returns what this node says at present.
@@ -70,7 +70,7 @@
             upstream: upstream.map_or_else(String::new, |key| key.to_string()),
             retired: Vec::new(),
             known: Vec::new(),
-            store_lost: self.reach.is_unreachable(),
+            store_lost: self.reachability.is_unreachable(),
             config_as_of_ms: self.freshness.as_of().map_or(0, StoreTime::millis),
             quota_term: self.quota_term.get(),
             store_era: self.clock.era().0,
@@ -79,7 +79,7 @@
     }
 
     /// Returns the first message after the hello: also what this node knows of others.
-    pub(crate) fn introduction(&self) -> Presence {
+    pub(crate) fn initial_presence(&self) -> Presence {
         let retired = self.retired.all();
         let known = self.directory.sample(MOST_INTRODUCED);
         Presence {
@@ -104,7 +104,7 @@
     }
 
     /// Sends a message to every node that follows this one.
-    pub(crate) fn tell(&self, message: &Body) {
+    pub(crate) fn broadcast(&self, message: &Body) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|subscriber| !subscriber.is_closed());
         let missed = subscribers
--- a/crates/mesh/src/wake.rs
+++ b/crates/mesh/src/suspension.rs
@@ -26,10 +26,10 @@
 /// How long after a suspension nothing is let into the own upstream. Within it what came meanwhile
 /// is read from open connections, and closed ones are opened again; without it the first requests
 /// would be judged by what was known before.
-const NEWS_TIME: Duration = Duration::from_millis(300);
+const CATCH_UP_TIME: Duration = Duration::from_millis(300);
 
 /// Notices that the instance was suspended.
-pub(crate) struct Wake {
+pub(crate) struct Detector {
     peers: Rc<Peers>,
     /// The last reading of both clocks.
     last: Cell<(Instant, Moment)>,
@@ -37,11 +37,11 @@
     until: Cell<Option<Instant>>,
 }
 
-impl Service for Wake {
+impl Service for Detector {
     const NAME: &'static str = "wake";
 }
 
-impl Wake {
+impl Detector {
     pub(crate) fn new(peers: Rc<Peers>) -> Self {
         Self {
             peers,
@@ -51,7 +51,7 @@
     }
 
     /// Compares the clocks; returns for how long the instance was suspended since the last time.
-    pub(crate) fn look(&self) -> Option<Duration> {
+    pub(crate) fn check(&self) -> Option<Duration> {
         let (steady, moment) = (Instant::now(), clock::now());
         let (steady_before, moment_before) = self.last.replace((steady, moment));
         let ran = steady.saturating_duration_since(steady_before);
@@ -59,7 +59,7 @@
         if time < LEAST_TIME {
             return None;
         }
-        self.until.set(Some(steady + NEWS_TIME));
+        self.until.set(Some(steady + CATCH_UP_TIME));
         emit(
             &catalogue::INSTANCE_SUSPENDED,
             &[("time_ms", &time.as_millis())],
@@ -70,8 +70,8 @@
     }
 
     /// Waits, after a suspension, until what happened meanwhile is known.
-    pub(crate) async fn news(&self) {
-        self.look();
+    pub(crate) async fn catch_up(&self) {
+        self.check();
         let Some(until) = self.until.get() else {
             return;
         };
@@ -82,10 +82,10 @@
     }
 
     /// Compares the clocks for as long as the task lives.
-    pub(crate) async fn keep_looking(self: Rc<Self>) {
+    pub(crate) async fn run(self: Rc<Self>) {
         loop {
             sleep(LOOK).await;
-            self.look();
+            self.check();
         }
     }
 }
--- a/crates/mesh/src/wake/tests.rs
+++ b/crates/mesh/src/suspension/tests.rs
@@ -14,7 +14,7 @@
 use crate::key::UpstreamKey;
 use crate::peer::{Delegate, Peers};
 use crate::store::StoreTime;
-use crate::wake::{NEWS_TIME, Wake};
+use crate::suspension::{CATCH_UP_TIME, Detector};
 
 struct Quiet;
 
@@ -40,51 +40,54 @@
     fn handle_crash(&self, _upstream: &UpstreamKey, _ran: &[Execution]) {}
 }
 
-fn wake() -> Wake {
+fn detector() -> Detector {
     let peers = Peers::new(
         IpAddr::V4(Ipv4Addr::LOCALHOST),
         "east".parse().expect("a name"),
         Rc::new(Quiet),
     );
-    Wake::new(Rc::new(peers))
+    Detector::new(Rc::new(peers))
 }
 
 #[test]
 fn suspension_is_noticed() {
-    let wake = wake();
-    assert_eq!(wake.look(), None);
+    let detector = detector();
+    assert_eq!(detector.check(), None);
     for time in SUSPENSIONS {
         suspend(time);
-        let noticed = wake.look().expect("it was suspended");
+        let noticed = detector.check().expect("it was suspended");
         assert!(
             noticed.abs_diff(time) < Duration::from_millis(100),
             "{noticed:?}"
         );
-        assert_eq!(wake.look(), None, "once");
+        assert_eq!(detector.check(), None, "once");
     }
 }
 
 #[test]
 fn busy_is_no_suspension() {
-    let wake = wake();
+    let detector = detector();
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(wake.look(), None, "both clocks went on");
+    assert_eq!(detector.check(), None, "both clocks went on");
 }
 
 #[test]
 fn news_is_awaited() {
-    let wake = Rc::new(wake());
-    let waiting = Rc::clone(&wake);
+    let detector = Rc::new(detector());
+    let waiting = Rc::clone(&detector);
     let times = async move {
         let before = Instant::now();
-        waiting.news().await;
+        waiting.catch_up().await;
         let calm = before.elapsed();
         suspend(Duration::from_secs(5));
         let before = Instant::now();
-        waiting.news().await;
+        waiting.catch_up().await;
         (calm, before.elapsed())
     };
     let (calm, woken) = runtime::run(times).expect("a runtime");
-    assert!(calm < NEWS_TIME / 2, "{calm:?}");
-    assert!(woken + Duration::from_millis(5) >= NEWS_TIME, "{woken:?}");
+    assert!(calm < CATCH_UP_TIME / 2, "{calm:?}");
+    assert!(
+        woken + Duration::from_millis(5) >= CATCH_UP_TIME,
+        "{woken:?}"
+    );
 }
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use monoio::time::sleep;
-use sailtrack_kernel::{Draining, Error, Joining, Life, Serving, Table};
+use sailtrack_kernel::{Draining, Error, Joining, Lifecycle, Serving, Table};
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::task;
 use sailtrack_net::terminate::Terminate;
@@ -39,7 +39,7 @@
 /// Runs a node from its start to its planned stop.
 pub(crate) async fn run(settings: Settings) -> Result<(), Error> {
     let mut terminate = Terminate::install().map_err(Error::Signal)?;
-    let life = Life::<Joining>::default();
+    let life = Lifecycle::<Joining>::default();
     let in_flight = Rc::new(Cell::new(0));
     let table = Rc::new(Table::default());
     services::start(&table, &settings, &life, &in_flight)?;
@@ -84,10 +84,10 @@
 /// Serves until the node is told to stop.
 async fn serve(
     table: &Rc<Table>,
-    life: Life<Serving>,
+    life: Lifecycle<Serving>,
     terminate: &mut Terminate,
     in_flight: &Cell<usize>,
-) -> Result<Life<Draining>, Error> {
+) -> Result<Lifecycle<Draining>, Error> {
     table.find::<Duties>()?.refresh().await;
     terminate.wait().await.map_err(Error::Signal)?;
     emit(
@@ -101,7 +101,7 @@
 async fn drain(
     table: &Rc<Table>,
     settings: &Settings,
-    life: Life<Draining>,
+    life: Lifecycle<Draining>,
     mut terminate: Terminate,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
--- a/crates/node/src/node/services.rs
+++ b/crates/node/src/node/services.rs
@@ -9,7 +9,7 @@
 use monoio::net::TcpListener;
 use monoio::net::udp::UdpSocket;
 use rand::Rng as _;
-use sailtrack_kernel::{Error, Joining, Life, Table};
+use sailtrack_kernel::{Error, Joining, Lifecycle, Table};
 use sailtrack_net::http::{Limits, Port, serve};
 use sailtrack_net::task;
 use sailtrack_units::{Incarnation, Timestamp};
@@ -54,7 +54,7 @@
 pub(crate) fn start(
     table: &Rc<Table>,
     settings: &Settings,
-    life: &Life<Joining>,
+    life: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let sockets = open(settings)?;
@@ -160,13 +160,13 @@
 fn install_decisions(
     table: &Table,
     settings: &Settings,
-    life: &Life<Joining>,
+    life: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let policy = settings.rules.admission.policy;
     table.install(Executor {
         policy,
-        phase: life.watch(),
+        phase: life.phase(),
         admission: table.find()?,
         windows: table.find()?,
         downstream: table.find()?,
@@ -210,7 +210,7 @@
     });
     table.install(Duties {
         identity: settings.identity.clone(),
-        phase: life.watch(),
+        phase: life.phase(),
         renew: settings.platform.renew.0,
         advertise: settings.ports.advertise,
         seeds: settings.seeds.clone(),
@@ -281,13 +281,13 @@
 fn start_ports(
     table: &Rc<Table>,
     settings: &Settings,
-    life: &Life<Joining>,
+    life: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
     [client, local, operator]: [Port; 3],
 ) -> Result<(), Error> {
     let client_port = Rc::new(ClientPort {
         policy: settings.rules.admission.policy,
-        phase: life.watch(),
+        phase: life.phase(),
         configuration: table.find()?,
         dispatcher: table.find()?,
         entrance: table.find()?,
@@ -322,11 +322,11 @@
 fn operator_service(
     table: &Table,
     settings: &Settings,
-    life: &Life<Joining>,
+    life: &Lifecycle<Joining>,
 ) -> Result<Operator, Error> {
     Ok(Operator {
         identity: settings.identity.clone(),
-        phase: life.watch(),
+        phase: life.phase(),
         configuration: table.find()?,
         acceptor: table.find()?,
         platform: table.find()?,
