--- a/crates/mesh/src/clock.rs
+++ b/crates/mesh/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clock that goes on while the instance is suspended, in one place.
+//! A monotonic clock that keeps counting while the instance is suspended.
 //!
-//! What others share or the outside world ages is measured by it: the time
-//! that a caller still waits, signs of life of other nodes, the window of
-//! repeats, connections that the other side may have closed, verdicts. What
-//! only this process does, such as pauses and averages, keeps to the clock of
-//! the runtime, which stands still meanwhile.
+//! Use it for time that also passes outside this process: deadlines of
+//! callers, heartbeats of other nodes, the retry window, idle connections that
+//! the peer may have closed, quarantine periods. Time that only matters inside
+//! the process, such as polling intervals and moving averages, is measured by
+//! the clock of the runtime, which stops during a suspension.
 
 #[cfg(test)]
 pub(crate) mod tests;
@@ -16,20 +16,20 @@
 use monoio::time::sleep;
 use sailtrack_units::Moment;
 
-/// How often a deadline is looked at: timers stand still while the instance is suspended, and this
-/// long after it goes on a request whose time ran out meanwhile is given up.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often a deadline is checked. Timers of the runtime stop while the instance is suspended, so
+/// a deadline that passed meanwhile is noticed at most this long after the instance resumes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An answer may have come while the node itself stood still; it is read in this time.
+/// Time to read an answer that arrived while the node itself was suspended or blocked.
 pub(crate) const READ_GRACE: Duration = Duration::from_millis(5);
 
-/// the time is over
+/// the deadline has passed
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) struct Elapsed;
 
 impl std::error::Error for Elapsed {}
 
-/// Returns the present moment.
+/// Returns the current time.
 #[cfg(not(test))]
 pub(crate) fn now() -> Moment {
     Moment::now()
@@ -38,7 +38,7 @@
 #[cfg(test)]
 pub(crate) use tests::{now, suspend};
 
-/// Waits for a future until a deadline.
+/// Runs a future until it completes or the deadline passes.
 pub(crate) async fn timeout_at<T>(
     deadline: Moment,
     future: impl Future<Output = T>,
@@ -49,7 +49,7 @@
             if left.is_zero() {
                 return;
             }
-            sleep(left.min(LOOK)).await;
+            sleep(left.min(CHECK_INTERVAL)).await;
         }
     };
     match select(std::pin::pin!(future), std::pin::pin!(expiry)).await {
--- a/crates/mesh/src/clock/tests.rs
+++ b/crates/mesh/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! A clock of which a test can let time pass that the runtime does not count.
+//! A test clock that can be advanced independently of the clock of the runtime.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use crate::clock::{Elapsed, timeout_at};
 
-/// How long the instance of a test is suspended.
+/// Durations of the suspensions that tests simulate.
 pub(crate) const SUSPENSIONS: [Duration; 3] = [
     Duration::from_secs(1),
     Duration::from_secs(5),
@@ -17,7 +17,7 @@
 ];
 
 thread_local! {
-    /// For how long the instance of this test was suspended.
+    /// Total time for which the instance of this test has been suspended.
     static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
@@ -25,12 +25,13 @@
     Moment::now() + SUSPENDED.get()
 }
 
-/// Lets the instance have been suspended for `time`: only this clock counts it.
+/// Simulates a suspension of `time`, which only this clock counts.
 pub(crate) fn suspend(time: Duration) {
     SUSPENDED.set(SUSPENDED.get() + time);
 }
 
-/// A deadline that passed meanwhile is over at once, not when the timer of the runtime is.
+/// A deadline that passes during a suspension expires right after the instance resumes, not when
+/// the timer of the runtime fires.
 #[test]
 fn deadline_passed() {
     let waited = async {
