--- a/crates/mesh/src/suspension.rs
+++ b/crates/mesh/src/suspension.rs
@@ -1,8 +1,8 @@
-//! Notices that the instance was suspended, and lets the node hear the news before it goes on.
+//! Detects that the instance was suspended, and delays requests until the node has caught up.
 //!
-//! What a node knew before is as old as the suspension was long, and the
-//! clock of the runtime does not show it: links look fresh, and requests
-//! under which upstreams ended meanwhile look harmless.
+//! After a suspension the node's view of its peers is out of date, which the
+//! clock of the runtime does not show: links still look alive, and requests
+//! that crashed upstreams in the meantime are not yet known as harmful.
 
 #[cfg(test)]
 mod tests;
@@ -19,21 +19,22 @@
 use crate::clock;
 use crate::peer::Peers;
 
-/// A difference between the two clocks that is no suspension: they are read one after the other.
-const LEAST_TIME: Duration = Duration::from_millis(200);
-/// How often the clocks are compared while no request does.
-const LOOK: Duration = Duration::from_millis(200);
-/// How long after a suspension nothing is let into the own upstream. Within it what came meanwhile
-/// is read from open connections, and closed ones are opened again; without it the first requests
-/// would be judged by what was known before.
+/// Shortest suspension that is recognized. The two clocks are read one after the other, so smaller
+/// differences between them mean nothing.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
+/// How often the clocks are compared when no request triggers a comparison.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long after a suspension no request is sent on. In this time messages that arrived meanwhile
+/// are read from open connections, and closed connections are reopened. Otherwise the first
+/// requests would be handled with outdated information.
 const CATCH_UP_TIME: Duration = Duration::from_millis(300);
 
-/// Notices that the instance was suspended.
+/// Detects suspensions of the instance by comparing two clocks, only one of which counts them.
 pub(crate) struct Detector {
     peers: Rc<Peers>,
     /// The last reading of both clocks.
     last: Cell<(Instant, Moment)>,
-    /// Until when the news is waited for.
+    /// Until when requests wait after the last suspension.
     until: Cell<Option<Instant>>,
 }
 
@@ -50,26 +51,26 @@
         }
     }
 
-    /// Compares the clocks; returns for how long the instance was suspended since the last time.
+    /// Compares the clocks; returns how long the instance was suspended since the last check.
     pub(crate) fn check(&self) -> Option<Duration> {
-        let (steady, moment) = (Instant::now(), clock::now());
-        let (steady_before, moment_before) = self.last.replace((steady, moment));
-        let ran = steady.saturating_duration_since(steady_before);
-        let time = moment.since(moment_before).saturating_sub(ran);
-        if time < LEAST_TIME {
+        let (runtime, moment) = (Instant::now(), clock::now());
+        let (last_runtime, last_moment) = self.last.replace((runtime, moment));
+        let ran = runtime.saturating_duration_since(last_runtime);
+        let time = moment.since(last_moment).saturating_sub(ran);
+        if time < MIN_SUSPENSION {
             return None;
         }
-        self.until.set(Some(steady + CATCH_UP_TIME));
+        self.until.set(Some(runtime + CATCH_UP_TIME));
         emit(
             &catalogue::INSTANCE_SUSPENDED,
             &[("time_ms", &time.as_millis())],
         );
-        // Every node counts as silent now until it is heard.
+        // Each peer has to answer before it counts as reachable again.
         self.peers.ping_all();
         Some(time)
     }
 
-    /// Waits, after a suspension, until what happened meanwhile is known.
+    /// Waits, after a suspension, until the node has learned what happened meanwhile.
     pub(crate) async fn catch_up(&self) {
         self.check();
         let Some(until) = self.until.get() else {
@@ -81,10 +82,10 @@
         }
     }
 
-    /// Compares the clocks for as long as the task lives.
+    /// Compares the clocks periodically; never returns.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
             self.check();
         }
     }
--- a/crates/mesh/src/suspension/tests.rs
+++ b/crates/mesh/src/suspension/tests.rs
@@ -1,4 +1,4 @@
-//! A suspension is noticed, and what came meanwhile is read before the node goes on.
+//! Tests that a suspension is detected and that requests wait until the node has caught up.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::rc::Rc;
@@ -16,9 +16,9 @@
 use crate::store::StoreTime;
 use crate::suspension::{CATCH_UP_TIME, Detector};
 
-struct Quiet;
+struct Idle;
 
-impl Delegate for Quiet {
+impl Delegate for Idle {
     fn heartbeat_interval(&self) -> Duration {
         Duration::from_millis(300)
     }
@@ -44,7 +44,7 @@
     let peers = Peers::new(
         IpAddr::V4(Ipv4Addr::LOCALHOST),
         "east".parse().expect("a name"),
-        Rc::new(Quiet),
+        Rc::new(Idle),
     );
     Detector::new(Rc::new(peers))
 }
@@ -55,12 +55,12 @@
     assert_eq!(detector.check(), None);
     for time in SUSPENSIONS {
         suspend(time);
-        let noticed = detector.check().expect("it was suspended");
+        let detected = detector.check().expect("a suspension");
         assert!(
-            noticed.abs_diff(time) < Duration::from_millis(100),
-            "{noticed:?}"
+            detected.abs_diff(time) < Duration::from_millis(100),
+            "{detected:?}"
         );
-        assert_eq!(detector.check(), None, "once");
+        assert_eq!(detector.check(), None, "reported twice");
     }
 }
 
@@ -68,7 +68,7 @@
 fn busy_is_no_suspension() {
     let detector = detector();
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(detector.check(), None, "both clocks went on");
+    assert_eq!(detector.check(), None, "both clocks advanced");
 }
 
 #[test]
