--- a/crates/mesh/src/events.rs
+++ b/crates/mesh/src/events.rs
@@ -1,4 +1,4 @@
-//! Log events about single requests, bounded in number.
+//! Rate-limited log events about single requests.
 
 mod sampler;
 #[cfg(test)]
@@ -24,12 +24,12 @@
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::metrics::Stage;
 use crate::request::Response;
-use sampler::{Sampler, Verdict};
+use sampler::{Decision, Sampler};
 
-/// The most requests that the event of a crash names: an upstream runs some hundred at once.
+/// The most requests that a crash event names; an upstream runs some hundred at once.
 const MAX_NAMED_REQUESTS: usize = 200;
 
-/// What was full where a request was refused.
+/// The limit at the gate that a refused request exceeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum Limiter {
     /// nothing
@@ -42,53 +42,54 @@
     Breaker,
 }
 
-/// A request that was refused at the gate, and what decided it.
+/// A request that was refused at the gate, and why.
 pub(crate) struct Refusal<'a> {
     pub(crate) attempt: &'a AttemptKey,
     pub(crate) kind: &'a KindName,
     pub(crate) reason: Reason,
-    /// The queue before the upstream, the window of its kind, or a service further down that has
-    /// no upstream.
+    /// The queue of the upstream, the window of the request's kind, or the circuit breaker of a
+    /// kind whose callees have no upstream.
     pub(crate) limiter: Limiter,
-    /// The requests that ran and waited there.
+    /// The requests that were running or waiting at the gate.
     pub(crate) in_flight: usize,
 }
 
-/// A request to whose answer nobody waits any more, since the own upstream is silent.
+/// A request that is no longer waited for, since the own upstream does not answer it.
 pub(crate) struct Silence<'a> {
     pub(crate) attempt: &'a AttemptKey,
     pub(crate) kind: &'a KindName,
     pub(crate) waited: Duration,
-    /// All but few of its kind take less, at the usual pace.
+    /// The time within which nearly all requests of its kind are answered normally.
     pub(crate) expected: Duration,
-    /// How many of its kind that were sent later have been answered.
+    /// How many requests of its kind that were sent later have been answered.
     pub(crate) overtaken: u32,
 }
 
-/// The end of a request at the entry, and what decided it.
+/// The result of a request at the entry, and what led to it.
 pub(crate) struct Completion<'a> {
     pub(crate) attempt: &'a AttemptKey,
     pub(crate) kind: &'a KindName,
-    /// The status that the client gets.
+    /// The HTTP status that the client gets.
     pub(crate) status: u16,
     pub(crate) trail: &'a Trail,
     pub(crate) reason: Reason,
-    /// How full the path was that it took.
+    /// The highest pressure on the path that the request took.
     pub(crate) pressure: Pressure,
-    /// Whether a call made for it failed.
+    /// Whether a nested call made for it failed.
     pub(crate) callee_failed: bool,
-    /// On whose behalf a client asked.
+    /// The workspace that the request belongs to.
     pub(crate) workspace: Option<&'a WorkspaceName>,
-    /// The configuration by which it was brought there.
+    /// The configuration version by which it was routed.
     pub(crate) version: ConfigVersion,
     pub(crate) elapsed: Duration,
-    /// The requests that the node works on.
+    /// The requests in flight at this node.
     pub(crate) in_flight: usize,
 }
 
-/// Writes log events about single requests, and leaves out what is too many.
+/// Writes log events about single requests, sampled when there are too many.
 ///
-/// Refusals come in floods and would crowd out what is seldom, so each has a bound of its own.
+/// Refusals and failures are sampled separately, since refusals under overload would crowd out the
+/// rarer failures.
 #[derive(Debug)]
 pub(crate) struct Events {
     refusals: RefCell<Sampler>,
@@ -110,7 +111,7 @@
 }
 
 impl Events {
-    /// Notes that a request was refused at the gate.
+    /// Logs that a request was refused at the gate.
     pub(crate) fn log_gate_refusal(&self, refusal: &Refusal<'_>) {
         let reason = refusal.reason.as_str_name();
         write(
@@ -128,7 +129,7 @@
         );
     }
 
-    /// Notes that the answer of the own upstream to a request was lost or cannot be passed on.
+    /// Logs that the own upstream's answer to a request was lost or cannot be passed on.
     pub(crate) fn log_lost_answer(&self, attempt: &AttemptKey, reason: &dyn fmt::Display) {
         write(
             &self.failures,
@@ -138,7 +139,7 @@
         );
     }
 
-    /// Notes what the port of the own upstream showed after the answer to a request was lost.
+    /// Logs the result of probing the port of the own upstream after an answer was lost.
     pub(crate) fn log_probe(&self, attempt: &AttemptKey, finding: Finding, took: Duration) {
         write(
             &self.failures,
@@ -152,7 +153,7 @@
         );
     }
 
-    /// Notes that another node told of a crash.
+    /// Logs that another node reported a crash of its upstream.
     #[allow(clippy::unused_self, reason = "events are written through one service")]
     pub(crate) fn log_remote_crash(&self, upstream: &str, requests: usize) {
         emit(
@@ -161,7 +162,7 @@
         );
     }
 
-    /// Notes that no answer of the own upstream to a request is expected any more.
+    /// Logs that the node stopped waiting for the own upstream's answer to a request.
     pub(crate) fn log_missing_answer(&self, silence: &Silence<'_>) {
         write(
             &self.failures,
@@ -177,7 +178,8 @@
         );
     }
 
-    /// Notes that the own upstream ended, and what it ran. There is one such event for each life.
+    /// Logs that the own upstream crashed, with the requests in flight. There is one such event for
+    /// each incarnation.
     #[allow(clippy::unused_self, reason = "events are written through one service")]
     pub(crate) fn log_crash(&self, upstream: &UpstreamKey, ran: &[Rc<Context>]) {
         let named = ran.iter().take(MAX_NAMED_REQUESTS);
@@ -193,7 +195,7 @@
         );
     }
 
-    /// Notes that nothing is held against a request any more that was on trial or in quarantine.
+    /// Logs that a request is no longer quarantined or on trial.
     #[allow(clippy::unused_self, reason = "events are written through one service")]
     pub(crate) fn log_cleared(&self, identity: &Identity, reason: &dyn fmt::Display) {
         emit(
@@ -202,7 +204,7 @@
         );
     }
 
-    /// Notes that an attempt of a request in quarantine is refused.
+    /// Logs that an attempt of a quarantined request is refused.
     pub(crate) fn log_quarantine_refusal(&self, attempt: &AttemptKey, identity: &Identity) {
         write(
             &self.refusals,
@@ -212,7 +214,8 @@
         );
     }
 
-    /// Notes that a request is not let in for want of a key. The key itself is not known here.
+    /// Logs that a request is refused since its key does not identify a workspace. The key itself
+    /// is never passed here, so that it cannot be logged.
     pub(crate) fn log_credential_error(
         &self,
         attempt: &AttemptKey,
@@ -233,7 +236,7 @@
         );
     }
 
-    /// Notes that a request is sent to another upstream.
+    /// Logs that a request is sent again, to another upstream.
     pub(crate) fn log_retry(&self, attempt: &AttemptKey, node: &NodeName, returned: &Response) {
         let reason = returned.reason.as_str_name();
         let outcome = returned.outcome.as_str_name();
@@ -250,43 +253,43 @@
         );
     }
 
-    /// Notes that a request is refused at the entry.
-    pub(crate) fn log_entry_refusal(&self, end: &Completion<'_>) {
-        let reason = end.reason.as_str_name();
+    /// Logs that a request is refused at the entry.
+    pub(crate) fn log_entry_refusal(&self, completion: &Completion<'_>) {
+        let reason = completion.reason.as_str_name();
         let first: [Field<'_>; 5] = [
-            ("request", end.attempt),
-            ("kind", end.kind),
+            ("request", completion.attempt),
+            ("kind", completion.kind),
             ("at", &Stage::Entry),
             ("reason", &reason),
-            ("calls", &end.in_flight),
+            ("calls", &completion.in_flight),
         ];
-        end.write(&self.refusals, &catalogue::REQUEST_REFUSED, &first);
+        completion.write(&self.refusals, &catalogue::REQUEST_REFUSED, &first);
     }
 
-    /// Notes that a request ends without an answer of an upstream.
-    pub(crate) fn log_failure(&self, end: &Completion<'_>) {
-        let reason = end.reason.as_str_name();
+    /// Logs that a request fails without an answer from an upstream.
+    pub(crate) fn log_failure(&self, completion: &Completion<'_>) {
+        let reason = completion.reason.as_str_name();
         let first: [Field<'_>; 4] = [
-            ("request", end.attempt),
-            ("kind", end.kind),
-            ("status", &end.status),
+            ("request", completion.attempt),
+            ("kind", completion.kind),
+            ("status", &completion.status),
             ("reason", &reason),
         ];
-        end.write(&self.failures, &catalogue::REQUEST_FAILED, &first);
+        completion.write(&self.failures, &catalogue::REQUEST_FAILED, &first);
     }
 
-    /// Notes that an upstream answered with a failure of its own.
-    pub(crate) fn log_error_response(&self, end: &Completion<'_>) {
+    /// Logs that an upstream answered with an error.
+    pub(crate) fn log_error_response(&self, completion: &Completion<'_>) {
         let first: [Field<'_>; 4] = [
-            ("request", end.attempt),
-            ("kind", end.kind),
-            ("status", &end.status),
-            ("below", &end.callee_failed),
+            ("request", completion.attempt),
+            ("kind", completion.kind),
+            ("status", &completion.status),
+            ("below", &completion.callee_failed),
         ];
-        end.write(&self.failures, &catalogue::REQUEST_ANSWERED_BADLY, &first);
+        completion.write(&self.failures, &catalogue::REQUEST_ANSWERED_BADLY, &first);
     }
 
-    /// Notes that it is not known whether a request ran in the own upstream.
+    /// Logs that it is unknown whether a request ran in the own upstream.
     pub(crate) fn log_unknown_outcome(
         &self,
         attempt: &AttemptKey,
@@ -304,7 +307,7 @@
 }
 
 impl Completion<'_> {
-    /// Writes an event with its own fields and those that every end has.
+    /// Writes an event with its own fields, followed by those of every completed request.
     fn write(&self, sampler: &RefCell<Sampler>, entry: &Entry, first: &[Field<'_>]) {
         let node = self.trail.node();
         let node = node.as_ref().map_or("none", NodeName::as_str);
@@ -323,8 +326,8 @@
 }
 
 fn write(sampler: &RefCell<Sampler>, attempt: &AttemptKey, entry: &Entry, fields: &[Field<'_>]) {
-    let verdict = sampler.borrow_mut().judge(attempt, Instant::now());
-    let Verdict { is_kept, summary } = verdict;
+    let decision = sampler.borrow_mut().sample(attempt, Instant::now());
+    let Decision { is_kept, summary } = decision;
     if let Some(summary) = summary {
         emit(
             &catalogue::EVENTS_LEFT_OUT,
--- a/crates/mesh/src/events/tests.rs
+++ b/crates/mesh/src/events/tests.rs
@@ -1,24 +1,24 @@
-//! What is written of requests when there are too many.
+//! Tests of event sampling when there are more events than the target rate.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use crate::events::sampler::{AIM, MOST, Sampler};
+use crate::events::sampler::{MAX_RATE, Sampler, TARGET_RATE};
 use crate::key::AttemptKey;
 
-/// The requests of a second with far too many.
+/// Requests per second, far above the target rate.
 const MANY: u32 = 2000;
 
 fn key(number: u32, call: &str) -> AttemptKey {
     AttemptKey::from(format!("{number:08x}{call}").as_str())
 }
 
-/// Lets a second with many refused requests pass and returns those that were written.
+/// Simulates a second with many refused requests and returns those whose events were written.
 fn pass_second(sampler: &mut Sampler, start: Instant, first: u32, call: &str) -> HashSet<u32> {
     let numbers = first..first + MANY;
     let kept = numbers.filter(|number| {
         let moment = start + Duration::from_micros(u64::from(number - first) * 400);
-        sampler.judge(&key(*number, call), moment).is_kept
+        sampler.sample(&key(*number, call), moment).is_kept
     });
     kept.collect()
 }
@@ -27,8 +27,8 @@
 fn few_are_all_written() {
     let now = Instant::now();
     let mut sampler = Sampler::new("refusals", now);
-    for number in 0..AIM {
-        let verdict = sampler.judge(&key(number, ""), now);
+    for number in 0..TARGET_RATE {
+        let verdict = sampler.sample(&key(number, ""), now);
         assert!(verdict.is_kept && verdict.summary.is_none());
     }
 }
@@ -40,14 +40,14 @@
     for second in 0..5u32 {
         let start = now + Duration::from_secs(u64::from(second));
         let kept = pass_second(&mut sampler, start, second * MANY, "");
-        assert!(kept.len() <= MOST as usize, "{}", kept.len());
-        assert!(kept.len() >= AIM as usize / 4, "{}", kept.len());
+        assert!(kept.len() <= MAX_RATE as usize, "{}", kept.len());
+        assert!(kept.len() >= TARGET_RATE as usize / 4, "{}", kept.len());
     }
 }
 
-/// Two nodes with the same flood write about the same requests.
+/// Two nodes that handle the same requests sample the same ones.
 #[test]
-fn trails_stay_whole() {
+fn nodes_sample_alike() {
     let now = Instant::now();
     let mut entry = Sampler::new("refusals", now);
     let mut gate = Sampler::new("refusals", now);
@@ -62,21 +62,27 @@
 }
 
 #[test]
-fn loss_is_said() {
+fn losses_are_reported() {
     let now = Instant::now();
     let mut sampler = Sampler::new("refusals", now);
     pass_second(&mut sampler, now, 0, "");
     let later = now + Duration::from_secs(1);
-    let torn = sampler
-        .judge(&key(0, ""), later)
+    let limited = sampler
+        .sample(&key(0, ""), later)
         .summary
-        .expect("it is said");
-    assert_eq!((torn.left_out, torn.kept_percent), (MANY - MOST, 0));
-    assert_eq!(torn.span, Duration::from_secs(1));
+        .expect("a summary");
+    assert_eq!(
+        (limited.left_out, limited.kept_percent),
+        (MANY - MAX_RATE, 0)
+    );
+    assert_eq!(limited.span, Duration::from_secs(1));
     pass_second(&mut sampler, later, MANY, "");
     let later = later + Duration::from_secs(1);
-    let whole = sampler.judge(&key(0, ""), later).summary.expect("again");
-    assert!((1..=5).contains(&whole.kept_percent), "{whole:?}");
-    let calm = sampler.judge(&key(0, ""), later + Duration::from_secs(1));
+    let adapted = sampler
+        .sample(&key(0, ""), later)
+        .summary
+        .expect("a second summary");
+    assert!((1..=5).contains(&adapted.kept_percent), "{adapted:?}");
+    let calm = sampler.sample(&key(0, ""), later + Duration::from_secs(1));
     assert!(calm.summary.is_none_or(|summary| summary.left_out <= 1));
 }
