--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the node counts, for scraping.
+//! Metrics of a mesh node, scraped in the text format of Prometheus.
 
 mod counters;
 mod gauges;
@@ -23,17 +23,17 @@
 use gauges::Gauges;
 pub(crate) use gauges::Snapshot;
 
-/// The first and smallest bucket of the time to an answer, in seconds.
-const FIRST_BUCKET: f64 = 0.001;
-/// The number of buckets, each twice the one before; the last one is near 8 s.
-const BUCKETS: u16 = 14;
-/// The number of buckets of how many requests a connection has begun: 2, 4, 8 and 16.
-const DEPTH_BUCKETS: u16 = 4;
-/// The most different kinds that are counted apart; a configuration may have some hundred routes.
-const MOST_KINDS: usize = 600;
+/// The smallest bucket of the response time histogram.
+const FIRST_BUCKET_SECONDS: f64 = 0.001;
+/// The number of response time buckets, each twice the one before; the last one is near 8 s.
+const BUCKET_COUNT: u16 = 14;
+/// The number of pipeline depth buckets: 2, 4, 8 and 16 requests.
+const DEPTH_BUCKET_COUNT: u16 = 4;
+/// The most request kinds with counters of their own; a configuration may have some hundred routes.
+const MAX_KINDS: usize = 600;
 
-/// The most upstreams of which speed and pace are shown.
-const MOST_UPSTREAMS: usize = 256;
+/// The most upstreams whose slowness and pace are exported.
+const MAX_UPSTREAMS: usize = 256;
 
 /// The part of the node at which a request ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -44,56 +44,56 @@
     Gate,
 }
 
-/// The labels of requests that ended.
+/// The labels of completed requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct EndLabels {
+struct CompletionLabels {
     place: String,
     kind: String,
     outcome: &'static str,
     reason: &'static str,
 }
 
-/// The labels of a time that is kept for each kind.
+/// The labels of histograms kept for each kind.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct KindLabels {
     kind: String,
 }
 
-/// The labels of what is counted for each service.
+/// The labels of counters kept for each service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ServiceLabels {
     service: String,
 }
 
-/// The labels of what is shown for each other node.
+/// The labels of gauges kept for each other node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct NodeLabels {
     node: String,
     service: String,
 }
 
-/// What is shown of the upstream beside another node.
+/// Measurements of another node's upstream.
 #[derive(Debug, Clone)]
 pub(crate) struct Sample {
     pub(crate) node: NodeName,
     pub(crate) service: ServiceName,
-    /// How many times as long as the others of its service it takes.
+    /// Its response time, as a multiple of that of the other upstreams of its service.
     pub(crate) slowness: f64,
-    /// How many times as long as usual work takes on its instance.
+    /// How long work takes on its instance at present, as a multiple of the usual time.
     pub(crate) pace: f64,
 }
 
-type Count<L> = Family<L, Counter<u64, AtomicU64>>;
+type CounterFamily<L> = Family<L, Counter<u64, AtomicU64>>;
 
-/// What the node counts.
+/// The metrics of a node and the registry that exports them.
 pub(crate) struct Metrics {
     registry: Registry,
-    ended: Count<EndLabels>,
-    repeats: Count<ServiceLabels>,
-    left_domain: Count<ServiceLabels>,
+    completed: CounterFamily<CompletionLabels>,
+    retries: CounterFamily<ServiceLabels>,
+    other_domain: CounterFamily<ServiceLabels>,
     counters: Counters,
-    pipelined: Histogram,
-    times: Family<KindLabels, Histogram>,
+    pipeline_depth: Histogram,
+    response_times: Family<KindLabels, Histogram>,
     slowness: Family<NodeLabels, Gauge>,
     pace: Family<NodeLabels, Gauge>,
     gauges: Gauges,
@@ -106,28 +106,28 @@
 impl Metrics {
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("sailtrack_mesh");
-        let ended = Count::<EndLabels>::default();
-        let repeats = Count::<ServiceLabels>::default();
-        let times = Family::<KindLabels, Histogram>::new_with_constructor(|| {
-            Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS))
+        let completed = CounterFamily::<CompletionLabels>::default();
+        let retries = CounterFamily::<ServiceLabels>::default();
+        let response_times = Family::<KindLabels, Histogram>::new_with_constructor(|| {
+            Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT))
         });
         registry.register(
             "requests",
             "Requests that ended, where and how",
-            ended.clone(),
+            completed.clone(),
         );
         let help = "Requests sent to a service once more";
-        registry.register("repeats", help, repeats.clone());
-        let left_domain = Count::<ServiceLabels>::default();
+        registry.register("repeats", help, retries.clone());
+        let other_domain = CounterFamily::<ServiceLabels>::default();
         let help = "Requests sent to another failure domain, though the own one has upstreams";
-        registry.register("left_domain", help, left_domain.clone());
+        registry.register("left_domain", help, other_domain.clone());
         let counters = Counters::new(&mut registry);
-        let pipelined = Histogram::new(exponential_buckets(2.0, 2.0, DEPTH_BUCKETS));
+        let pipeline_depth = Histogram::new(exponential_buckets(2.0, 2.0, DEPTH_BUCKET_COUNT));
         let help = "Requests begun before those ahead of them were answered, by how many a \
                     connection had then";
-        registry.register("pipelined_requests", help, pipelined.clone());
+        registry.register("pipelined_requests", help, pipeline_depth.clone());
         let help = "Time from a request of a client to its answer";
-        registry.register_with_unit("answer", help, Unit::Seconds, times.clone());
+        registry.register_with_unit("answer", help, Unit::Seconds, response_times.clone());
         let slowness = Family::<NodeLabels, Gauge>::default();
         let help = "Time of an upstream beside the others of its service, in percent";
         registry.register("upstream_slowness_percent", help, slowness.clone());
@@ -137,19 +137,19 @@
         let gauges = Gauges::new(&mut registry);
         Self {
             registry,
-            ended,
-            repeats,
-            left_domain,
+            completed,
+            retries,
+            other_domain,
             counters,
-            pipelined,
-            times,
+            pipeline_depth,
+            response_times,
             slowness,
             pace,
             gauges,
         }
     }
 
-    /// Notes how a request ended.
+    /// Counts a completed request by its outcome.
     pub(crate) fn record_completion(
         &self,
         stage: Stage,
@@ -157,116 +157,120 @@
         outcome: Outcome,
         reason: Reason,
     ) {
-        let labels = EndLabels {
+        let labels = CompletionLabels {
             place: stage.to_string(),
             kind: kind.to_string(),
             outcome: outcome.as_str_name(),
             reason: reason.as_str_name(),
         };
-        self.ended.get_or_create(&labels).inc();
+        self.completed.get_or_create(&labels).inc();
     }
 
-    /// Notes that a message about the own upstream was refused.
+    /// Counts a refused announcement of the own upstream.
     pub(crate) fn record_refused_announcement(&self) {
         self.counters.refused_announcements.inc();
     }
 
-    /// Notes that the own upstream crashed.
+    /// Counts a crash of the own upstream.
     pub(crate) fn record_crash(&self) {
         self.counters.crashes.inc();
     }
 
-    /// Notes that a request was put into quarantine.
+    /// Counts a request that was put into quarantine.
     pub(crate) fn record_quarantine(&self) {
-        self.counters.verdicts.inc();
+        self.counters.quarantines.inc();
     }
 
-    /// Notes that a request was not let in for want of a key.
+    /// Counts a request that was refused since its key does not identify a workspace.
     pub(crate) fn record_credential_error(&self) {
-        self.counters.refused_keys.inc();
+        self.counters.credential_errors.inc();
     }
 
-    /// Notes that requests with keys are refused from now on.
+    /// Counts each time that the node begins to refuse requests with keys, since its configuration
+    /// may be outdated.
     pub(crate) fn record_keys_outdated(&self) {
-        self.counters.outdated_keys.inc();
+        self.counters.keys_outdated.inc();
     }
 
-    /// Notes that a request was refused since its workspace asks more than it may.
+    /// Counts a request that was refused since its workspace exceeds its quota.
     pub(crate) fn record_over_quota(&self) {
         self.counters.over_quota.inc();
     }
 
-    /// Notes that no answer of the own upstream to a request is expected any more.
+    /// Counts a request that the node stopped waiting for, since the own upstream does not answer.
     pub(crate) fn record_unanswered(&self) {
         self.counters.unanswered.inc();
     }
 
-    /// Notes a request that was begun before those ahead of it were answered, with which its
-    /// connection has `depth`.
+    /// Records a pipeline_depth request; `depth` is the number of unanswered requests of its connection,
+    /// including this one.
     pub(crate) fn record_pipelined(&self, depth: usize) {
-        self.pipelined
+        self.pipeline_depth
             .observe(f64::from(u32::try_from(depth).unwrap_or(u32::MAX)));
     }
 
-    /// Notes requests that count as not read.
+    /// Counts pipeline_depth requests that were cancelled because an earlier answer closed their
+    /// connection.
     pub(crate) fn record_unread(&self, count: usize) {
         self.counters.unread.inc_by(count as u64);
     }
 
-    /// Notes how a request of a client ended after `time`.
+    /// Records the outcome and the response time of a client's request.
     pub(crate) fn record_answer(&self, kind: &KindName, returned: &Response, time: Duration) {
         self.record_completion(Stage::Entry, kind, returned.outcome, returned.reason);
         let labels = KindLabels {
             kind: kind.to_string(),
         };
-        let times = self.times.get_or_create(&labels);
-        times.observe(time.as_secs_f64());
+        let response_times = self.response_times.get_or_create(&labels);
+        response_times.observe(time.as_secs_f64());
     }
 
-    /// Notes that a request is sent to a service once more.
+    /// Counts a retry.
     pub(crate) fn record_retry(&self, service: &ServiceName) {
         let labels = ServiceLabels {
             service: service.to_string(),
         };
-        self.repeats.get_or_create(&labels).inc();
+        self.retries.get_or_create(&labels).inc();
     }
 
-    /// Notes that a request leaves the failure domain, though that has upstreams of the service.
+    /// Counts a request that is sent to another failure domain although the own one has upstreams of
+    /// the service.
     pub(crate) fn record_other_domain(&self, service: &ServiceName) {
         let labels = ServiceLabels {
             service: service.to_string(),
         };
-        self.left_domain.get_or_create(&labels).inc();
+        self.other_domain.get_or_create(&labels).inc();
     }
 
-    /// Forgets the counts of kinds when too many have been seen, as routes come and go.
+    /// Drops the metrics of all kinds when there are too many kinds, which happens over time as
+    /// routes are added and removed.
     pub(crate) fn limit_kinds(&self, kinds: usize) {
-        if kinds > MOST_KINDS {
-            self.ended.clear();
-            self.times.clear();
+        if kinds > MAX_KINDS {
+            self.completed.clear();
+            self.response_times.clear();
         }
     }
 
-    /// Shows what is known of upstreams to which requests were sent, and of no others.
+    /// Replaces the gauges of other upstreams.
     pub(crate) fn set_upstreams(&self, upstreams: &[Sample]) {
         self.slowness.clear();
         self.pace.clear();
-        for shown in upstreams.iter().take(MOST_UPSTREAMS) {
+        for sample in upstreams.iter().take(MAX_UPSTREAMS) {
             let labels = NodeLabels {
-                node: shown.node.to_string(),
-                service: shown.service.to_string(),
+                node: sample.node.to_string(),
+                service: sample.service.to_string(),
             };
-            let slowness = percent(shown.slowness);
+            let slowness = percent(sample.slowness);
             self.slowness.get_or_create(&labels).set(slowness);
-            self.pace.get_or_create(&labels).set(percent(shown.pace));
+            self.pace.get_or_create(&labels).set(percent(sample.pace));
         }
     }
 
-    /// Returns everything in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub(crate) fn encode(&self, snapshot: &Snapshot) -> String {
         self.gauges.set(snapshot);
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/mesh/src/metrics/counters.rs
+++ b/crates/mesh/src/metrics/counters.rs
@@ -9,9 +9,9 @@
 pub(super) struct Counters {
     pub(super) refused_announcements: Counter<u64, AtomicU64>,
     pub(super) crashes: Counter<u64, AtomicU64>,
-    pub(super) verdicts: Counter<u64, AtomicU64>,
-    pub(super) refused_keys: Counter<u64, AtomicU64>,
-    pub(super) outdated_keys: Counter<u64, AtomicU64>,
+    pub(super) quarantines: Counter<u64, AtomicU64>,
+    pub(super) credential_errors: Counter<u64, AtomicU64>,
+    pub(super) keys_outdated: Counter<u64, AtomicU64>,
     pub(super) over_quota: Counter<u64, AtomicU64>,
     pub(super) unanswered: Counter<u64, AtomicU64>,
     pub(super) unread: Counter<u64, AtomicU64>,
@@ -30,17 +30,17 @@
                 "upstream_crashes",
                 "Ends of the own upstream that it had not announced",
             ),
-            verdicts: counter(
+            quarantines: counter(
                 registry,
                 "verdicts",
                 "Requests that were put into quarantine",
             ),
-            refused_keys: counter(
+            credential_errors: counter(
                 registry,
                 "refused_keys",
                 "Requests without a key that a workspace has",
             ),
-            outdated_keys: counter(
+            keys_outdated: counter(
                 registry,
                 "outdated_keys",
                 "Times that requests with keys were refused from then on, since too little is known",
--- a/crates/mesh/src/metrics/gauges.rs
+++ b/crates/mesh/src/metrics/gauges.rs
@@ -1,47 +1,49 @@
-//! Gauges: values that are read at the time of a scrape.
+//! Gauges, which are set at each scrape.
 
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Values that are read at the time of a scrape.
+/// The values of all gauges at the time of a scrape.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Snapshot {
-    /// The requests that run in the own upstream.
+    /// The requests in flight in the own upstream.
     pub(crate) running: usize,
     /// The requests that wait for admission.
     pub(crate) waiting: usize,
-    /// The slots of the own upstream; zero while it takes nothing.
+    /// The concurrent requests that the own upstream accepts; zero while it accepts none.
     pub(crate) slots: usize,
-    /// The requests that must not run twice and are remembered.
+    /// The remembered requests that must not run twice.
     pub(crate) records: usize,
-    /// The other nodes that are known,
+    /// The other nodes that are known.
     pub(crate) members: usize,
-    /// those to which a connection is open,
+    /// The other nodes to which a connection is open.
     pub(crate) links: usize,
-    /// and those that take requests for their upstreams.
+    /// The other nodes that accept requests for their upstreams.
     pub(crate) serving: usize,
     /// The version of the configuration in force.
     pub(crate) version: u64,
-    /// The connections of clients that are open.
+    /// The open connections of clients.
     pub(crate) connections: usize,
-    /// The rows of the store among those of nodes that name no node.
+    /// The rows in the store's table of nodes that do not describe a node.
     pub(crate) foreign_rows: usize,
-    /// The requests that are remembered since they ran when upstreams ended,
+    /// The remembered requests that were in flight when an upstream crashed.
     pub(crate) suspects: usize,
-    /// and those of them that are sent to no upstream.
+    /// The quarantined requests, which are sent to no upstream.
     pub(crate) quarantined: usize,
     /// 1 while this node follows the store on behalf of its failure domain.
     pub(crate) watching: usize,
-    /// How many milliseconds ago, at most, the configuration in force was surely the newest; zero
-    /// if that is not known.
+    /// Upper bound on the time since the configuration in force was known to be the newest; zero
+    /// if unknown.
     pub(crate) key_age_ms: u64,
-    /// The term of this node as the allocator of its failure domain's tokens, zero if it is not.
+    /// The term of this node as the allocator of its failure domain's tokens; zero if it is not
+    /// the allocator.
     pub(crate) quota_term: u64,
-    /// How long work takes on the instance of the own upstream, in percent; zero if not told.
+    /// How long work takes on the own instance at present, in percent of the usual time; zero if
+    /// not reported.
     pub(crate) pace_percent: u32,
 }
 
-/// A gauge with the value that it shows.
+/// A gauge and the function that reads its value from a snapshot.
 type Sampled = (Gauge, fn(&Snapshot) -> u64);
 
 /// The gauges of a node.
@@ -49,12 +51,12 @@
 
 impl Gauges {
     pub(super) fn new(registry: &mut Registry) -> Self {
-        let mut gauges = of_work(registry);
-        gauges.extend(of_state(registry));
+        let mut gauges = register_traffic(registry);
+        gauges.extend(register_state(registry));
         Self(gauges)
     }
 
-    /// Shows the values of this moment.
+    /// Sets all gauges from a snapshot.
     pub(super) fn set(&self, snapshot: &Snapshot) {
         for (gauge, value) in &self.0 {
             gauge.set(i64::try_from(value(snapshot)).unwrap_or(i64::MAX));
@@ -73,8 +75,8 @@
     (gauge, value)
 }
 
-/// Requests, members and connections.
-fn of_work(registry: &mut Registry) -> Vec<Sampled> {
+/// Registers the gauges of requests, nodes and connections.
+fn register_traffic(registry: &mut Registry) -> Vec<Sampled> {
     let mut gauge = |name, help, value| register(registry, name, help, value);
     vec![
         gauge("running", "Requests that run in the own upstream", |now| {
@@ -119,8 +121,8 @@
     ]
 }
 
-/// Configuration, quota, pace and quarantine.
-fn of_state(registry: &mut Registry) -> Vec<Sampled> {
+/// Registers the gauges of configuration, quota, pace and quarantine.
+fn register_state(registry: &mut Registry) -> Vec<Sampled> {
     let mut gauge = |name, help, value| register(registry, name, help, value);
     vec![
         gauge(
