--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,9 +1,9 @@
-//! The transparent path of sailtrack: a node beside each upstream that takes
-//! every request in and out of it, unchanged.
+//! A transparent service mesh: one node beside each upstream, through which all
+//! requests to and from the upstream pass unchanged.
 //!
-//! Requests need no header of sailtrack's own. What differs between the places
-//! where a mesh runs, names, formats and calls, is behind [`Dialect`] and
-//! [`Store`]; all decisions are here.
+//! Requests need no headers specific to sailtrack. Names, formats and calls
+//! that depend on the platform are behind [`Dialect`] and [`Store`]; all
+//! decisions are made in this crate.
 
 mod announcement;
 mod body;
@@ -55,7 +55,7 @@
     Content, Lookup, Operation, Row, Rows, Store, StoreError, StoreTime, StoreVersion, Table,
 };
 
-/// Runs a node until it is stopped.
+/// Runs a node until it is shut down.
 pub fn run(settings: Settings, environment: Environment) -> Result<(), Error> {
     sailtrack_log::install_to(Destination::Stdout, settings.log_level);
     let result = sailtrack_net::runtime::run(node::run(settings, environment));
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -14,85 +14,87 @@
 const RATIO: &str = "a number from 0 to 1";
 const LEVEL: &str = "error, warn, info or debug";
 
-/// The memory that a node is reckoned to have if nothing is set.
+/// The memory limit if none is set.
 const DEFAULT_MEMORY: ByteSize = ByteSize(256 << 20);
 
-/// The bodies of requests may take up one part in so many of the memory. Each stands there up to
-/// twice, at the entry and on its way to another node; the rest is for answers and connections.
-const BODY_SHARE: usize = 6;
-/// The part of the memory for finished answers that wait for their turn.
-const READY_SHARE: usize = 16;
+/// Request bodies may use the memory limit divided by this. A body is held up to twice, at the
+/// entry and while it is sent to another node; the rest is for answers and connections.
+const BODY_MEMORY_DIVISOR: usize = 6;
+/// Answers that wait for earlier answers of their connection may use the memory limit divided by
+/// this.
+const PENDING_RESPONSE_MEMORY_DIVISOR: usize = 16;
 
-/// After how long a node is taken for gone for good: longer than a reboot takes.
-const DEFAULT_FORGET: Period = Period::from_millis(300_000);
+/// How long a node is unreachable before it is removed for good; longer than a reboot takes.
+const DEFAULT_FORGET_AFTER: Period = Period::from_millis(300_000);
 
-/// In which time limits of workspaces are measured if nothing is set, and which share of them may
-/// run beside them: none.
+/// The window in which workspace limits are measured, and the share of a limit by which a workspace
+/// may exceed it, if not set.
 const DEFAULT_QUOTA_WINDOW: Period = Period::from_millis(5_000);
 const DEFAULT_QUOTA_OVERAGE: Ratio = Ratio(0.0);
 
 /// The addresses on which the node listens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ports {
-    /// For clients on this instance and for the calls of the own upstream.
+    /// For clients on this instance and for calls made by the own upstream.
     pub entry: SocketAddr,
-    /// For the question whether the node is ready.
+    /// For readiness probes.
     pub ready: SocketAddr,
-    /// For the announcements of the own upstream.
+    /// For announcements of the own upstream.
     pub announcements: SocketAddr,
     /// For other nodes.
     pub peer: SocketAddr,
-    /// Where other nodes reach that port; another address if something stands between.
+    /// The address by which other nodes reach the peer port; differs from `peer` behind a proxy or
+    /// address translation.
     pub advertise: SocketAddr,
-    /// For scraping counters, if they are wanted.
+    /// For scraping metrics, if enabled.
     pub metrics: Option<SocketAddr>,
 }
 
-/// What all nodes together may send once more to one service.
+/// The limit on retries to one service, for all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBounds {
-    /// The share of its requests that repeats may add,
+    /// The retries allowed in a window, as a share of the requests to the service.
     pub ratio: Ratio,
-    /// beside this many repeats,
+    /// The retries allowed in a window in addition to that share.
     pub slack: f64,
-    /// in any window of this length.
+    /// The length of the window.
     pub window: Period,
 }
 
 /// All settings of a mesh node.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The file in which they stand, if they stand in one.
+    /// The file from which they were read, if any.
     pub file: Option<PathBuf>,
-    /// Who the node is.
+    /// The name, service and failure domain of the node.
     pub identity: Identity,
-    /// The whole mesh starts for the first time.
+    /// Whether the whole mesh starts for the first time.
     pub first_start: bool,
-    /// Where it listens.
+    /// The addresses on which the node listens.
     pub ports: Ports,
-    /// Where the upstream beside it is.
+    /// The address of the own upstream.
     pub upstream: SocketAddr,
-    /// Where the store is.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// The most memory that the process may hold.
+    /// The memory limit of the process.
     pub memory: ByteSize,
-    /// How long a planned stop may take.
+    /// The time limit of a graceful shutdown.
     pub stop_time: Period,
-    /// After this time without a connection a node is taken for gone for good.
+    /// How long another node is unreachable before it is removed for good.
     pub forget_after: Period,
-    /// What may be sent once more.
+    /// The limit on retries.
     pub retry: RetryBounds,
-    /// How long a key that was taken away may go on to be served by a node that cannot hear of it;
-    /// without it, until it hears.
+    /// How long a node that cannot learn of configuration changes may go on accepting a revoked
+    /// key; without a limit if not set.
     pub revoke_time: Option<Period>,
-    /// How far workspaces may go beyond their limits.
+    /// How far workspaces may exceed their limits.
     pub quota: Tolerance,
-    /// What is logged.
+    /// The most detailed level that is logged.
     pub log_level: LevelFilter,
 }
 
 impl Settings {
-    /// Reads the settings in the file at `path`.
+    /// Reads settings from the file at `path`.
     pub fn load(path: &Path) -> Result<Self, Problems> {
         let settings = Self::read(Document::load(path)?)?;
         Ok(Self {
@@ -101,23 +103,24 @@
         })
     }
 
-    /// Reads the settings in `text`; `file` names it in messages.
+    /// Parses settings from `text`; `file` is the name used in error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, Problems> {
         Self::read(Document::parse(file, text)?)
     }
 
-    /// Returns how much memory the bodies of requests may take up together.
+    /// Returns how much memory all request bodies together may use.
     pub(crate) fn body_memory(&self) -> usize {
-        self.memory.as_usize() / BODY_SHARE
+        self.memory.as_usize() / BODY_MEMORY_DIVISOR
     }
 
-    /// Returns how much memory finished answers may take up before connections begin requests one
-    /// at a time.
+    /// Returns how much memory answers that wait for earlier answers may use. Beyond it, connections
+    /// process pipelined requests one at a time.
     pub(crate) fn pending_response_memory(&self) -> usize {
-        self.memory.as_usize() / READY_SHARE
+        self.memory.as_usize() / PENDING_RESPONSE_MEMORY_DIVISOR
     }
 
-    /// Returns these settings with those of `other` that only a start can change.
+    /// Returns these settings, except that those which only take effect at a start are taken from
+    /// `other`.
     pub(crate) fn with_fixed_from(self, other: Self) -> Self {
         Self {
             identity: other.identity,
@@ -139,7 +142,7 @@
         let bounds = document.section("bounds");
         let memory = bounds.or("memory", DEFAULT_MEMORY, "a size such as 256MiB");
         let stop_time = bounds.required("stop-time", PERIOD);
-        let forget_after = bounds.or("forget-after", DEFAULT_FORGET, PERIOD);
+        let forget_after = bounds.or("forget-after", DEFAULT_FORGET_AFTER, PERIOD);
         let retry = read_retry(&bounds);
         let revoke_time = bounds.optional("revoke-time", PERIOD);
         let quota = read_quota(&bounds);
@@ -148,7 +151,7 @@
         let log_level = log.or("level", LevelFilter::Info, LEVEL);
         drop(log);
         document.finish(SECTIONS)?;
-        let whole = || {
+        let all = || {
             Some(Self {
                 file: None,
                 identity: identity?,
@@ -165,7 +168,7 @@
                 log_level,
             })
         };
-        whole().ok_or_else(Problems::default)
+        all().ok_or_else(Problems::default)
     }
 }
 
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -1,4 +1,4 @@
-//! What this node tells others about itself.
+//! The status that this node publishes to other nodes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,11 +19,12 @@
 use crate::retired::Retired;
 use crate::store::{Clock, Reachability, StoreTime};
 
-/// The most other nodes of which a node that connects is told. With all of them, a start of 300
-/// nodes at once moved 7 MB to and from each; some of each node that one meets make all known.
-const MOST_INTRODUCED: usize = 16;
+/// The most known nodes that are listed for a newly connected node. With a full list, starting 300
+/// nodes at once transferred 7 MB to and from each. A sample is enough, since a node gets a
+/// different one from each peer.
+const MAX_KNOWN_NODES: usize = 16;
 
-/// What this node tells others about itself, and to whom.
+/// The status of this node and the nodes that subscribe to it.
 pub(crate) struct Status {
     pub(crate) incarnation: Incarnation,
     pub(crate) phase: Rc<Cell<Phase>>,
@@ -45,19 +46,19 @@
 }
 
 impl Status {
-    /// Returns what a connection begins with.
+    /// Returns the description of this node that opens a connection.
     pub(crate) fn local_member(&self) -> MemberMessage {
         let own = self.directory.own();
         own.to_wire(self.incarnation, self.state(), self.upstream.slots())
     }
 
-    /// Returns what this node says at present.
+    /// Returns the current presence message.
     pub(crate) fn presence(&self) -> Presence {
         let now = Instant::now();
         let upstream = self.upstream.ready(now);
         let pace = self.upstream.report.pace(clock::now());
-        // What never changes was in the hello. Of 300 nodes each says this to each other one; with
-        // names and addresses it was three times as long.
+        // Constant fields were sent in the hello message. In a mesh of 300 nodes, each node sends
+        // this message to all others; with names and addresses it was three times as long.
         let member = MemberMessage {
             state: self.state().into(),
             slots: self.upstream.slots(),
@@ -78,10 +79,11 @@
         }
     }
 
-    /// Returns the first message after the hello: also what this node knows of others.
+    /// Returns the first presence message after the hello, which also lists known nodes and retired
+    /// upstreams.
     pub(crate) fn initial_presence(&self) -> Presence {
         let retired = self.retired.all();
-        let known = self.directory.sample(MOST_INTRODUCED);
+        let known = self.directory.sample(MAX_KNOWN_NODES);
         Presence {
             retired: retired.iter().map(ToString::to_string).collect(),
             known: known
@@ -92,18 +94,18 @@
         }
     }
 
-    /// Tells everybody who follows this node what it says now.
+    /// Sends the current presence to all subscribers.
     pub(crate) fn publish(&self) {
         let presence = self.presence();
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|subscriber| !subscriber.is_closed());
         for subscriber in subscribers.iter_mut() {
-            // A full channel holds an answer that will be followed by the regular presence.
+            // If the channel is full, the next periodic presence message makes up for this one.
             let _ = subscriber.try_send(Body::Presence(presence.clone()));
         }
     }
 
-    /// Sends a message to every node that follows this one.
+    /// Sends a message to all subscribers.
     pub(crate) fn broadcast(&self, message: &Body) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|subscriber| !subscriber.is_closed());
