--- a/crates/mesh/src/ready.rs
+++ b/crates/mesh/src/ready.rs
@@ -1,4 +1,4 @@
-//! The port on which the node is asked whether it is ready.
+//! The port for readiness probes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use crate::configuration::Current;
 use crate::dialect::Dialect;
 
-/// Answers whether the node is ready.
+/// Answers readiness probes.
 pub(crate) struct Endpoint {
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) phase: Rc<Cell<Phase>>,
@@ -20,7 +20,7 @@
 impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         if !self.dialect.is_readiness_probe(&request) {
-            return Response::text(StatusCode::NOT_FOUND, "nothing here\n");
+            return Response::text(StatusCode::NOT_FOUND, "not found\n");
         }
         let is_ready = self.phase.get() == Phase::Serving && self.current.get().is_some();
         if is_ready {
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -1,4 +1,4 @@
-//! The port on which the counters of the node are scraped, and verdicts are listed and lifted.
+//! The port for metrics, on which quarantined requests are also listed and cleared.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -22,15 +22,16 @@
 use crate::status::Status;
 use crate::watch::Watch;
 
-/// Where the counters are.
-const COUNTERS: &str = "/metrics";
-/// Where the requests are that are on trial or in quarantine; each is below it by its identity.
+/// The path of the metrics.
+const METRICS: &str = "/metrics";
+/// The path that lists requests on trial or in quarantine; each has a path below it, named by its
+/// identity.
 const QUARANTINE: &str = "/quarantine";
-/// What is said of any other path.
-const NOTHING: &str = "the counters are at /metrics, requests on trial or in quarantine at \
+/// The answer for any other path.
+const USAGE: &str = "metrics are at /metrics, requests on trial or in quarantine at \
     /quarantine; DELETE /quarantine/IDENTITY clears one on all nodes\n";
 
-/// Answers scrapes.
+/// Answers scrapes and requests about the quarantine.
 pub(crate) struct Endpoint {
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) contexts: Rc<Contexts>,
@@ -50,16 +51,16 @@
 impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         match (&request.method, request.path.as_str()) {
-            (_, COUNTERS) => Response::text(StatusCode::OK, self.counters()),
-            (&Method::GET, QUARANTINE) => Response::text(StatusCode::OK, self.quarantined()),
-            (&Method::DELETE, path) => self.lift(path),
-            _ => Response::text(StatusCode::NOT_FOUND, NOTHING),
+            (_, METRICS) => Response::text(StatusCode::OK, self.metrics_text()),
+            (&Method::GET, QUARANTINE) => Response::text(StatusCode::OK, self.quarantine_list()),
+            (&Method::DELETE, path) => self.clear(path),
+            _ => Response::text(StatusCode::NOT_FOUND, USAGE),
         }
     }
 }
 
 impl Endpoint {
-    fn counters(&self) -> String {
+    fn metrics_text(&self) -> String {
         let (suspects, quarantined) = self.quarantine.counts();
         let age = self.freshness.age(clock::now());
         let snapshot = Snapshot {
@@ -88,11 +89,11 @@
         self.metrics.encode(&snapshot)
     }
 
-    /// Returns what is known of the upstreams to which this node sent requests.
+    /// Returns measurements of the upstreams to which this node has sent requests.
     fn upstreams(&self) -> Vec<Sample> {
         let now = Instant::now();
-        let used = self.peers.with_known_load();
-        let shown = used.iter().map(|link| {
+        let links = self.peers.with_known_load();
+        let samples = links.iter().map(|link| {
             let (slowness, pace) = link.load.borrow().slowness_and_pace(now);
             Sample {
                 node: link.member.name.clone(),
@@ -101,12 +102,13 @@
                 pace,
             }
         });
-        shown.collect()
+        samples.collect()
     }
 
-    /// Returns a line for each request: its identity, how many crashes followed each other under
-    /// it, how long ago the last one was, and how much of its quarantine is left.
-    fn quarantined(&self) -> String {
+    /// Returns one line for each request on trial or in quarantine: its identity, the number of
+    /// consecutive crashes, the seconds since the last crash, and the remaining seconds of
+    /// quarantine.
+    fn quarantine_list(&self) -> String {
         let records = self.quarantine.records();
         let lines = records.iter().map(|record| {
             format!(
@@ -120,14 +122,18 @@
         lines.collect()
     }
 
-    fn lift(&self, path: &str) -> Response {
+    fn clear(&self, path: &str) -> Response {
         let identity = path.strip_prefix(QUARANTINE).unwrap_or_default();
         let identity = identity.trim_start_matches('/').parse::<Identity>();
         match identity {
-            Ok(identity) if self.quarantine.lift(&identity) => {
-                Response::text(StatusCode::OK, "nothing is held against it any more\n")
-            }
-            Ok(_) => Response::text(StatusCode::NOT_FOUND, "nothing is held against it here\n"),
+            Ok(identity) if self.quarantine.lift(&identity) => Response::text(
+                StatusCode::OK,
+                "the request is no longer quarantined or on trial\n",
+            ),
+            Ok(_) => Response::text(
+                StatusCode::NOT_FOUND,
+                "no such request quarantined or on trial\n",
+            ),
             Err(error) => Response::text(StatusCode::BAD_REQUEST, format!("{error}\n")),
         }
     }
