--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -20,7 +20,7 @@
 use crate::node::Environment;
 use crate::peer::Peers;
 use crate::quota::{Election, Fetcher as TokenFetcher, Quotas};
-use crate::reload::{Parts, Reload};
+use crate::reload::{Components, Reload};
 use crate::settings::Settings;
 use crate::status::Status;
 use crate::suspension;
@@ -69,13 +69,13 @@
 /// Starts what follows the settings file.
 pub(super) fn follow_settings(table: &Table) -> Result<(), Error> {
     let reload = table.find::<Reload>()?;
-    reload.serve(Parts {
+    reload.set_components(Components {
         budget: table.find()?,
         entry: table.find()?,
         freshness: table.find()?,
         quotas: table.find()?,
     });
-    task::spawn("settings", reload.keep_looking());
+    task::spawn("settings", reload.run());
     Ok(())
 }
 
--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -1,8 +1,8 @@
-//! Puts changes of the settings file into force while the node runs.
+//! Reloads the settings file while the node runs.
 //!
-//! The file is read again when a signal asks for it, and looked at from time
-//! to time, since it may change without one, both on a thread of its own. A file with mistakes changes
-//! nothing. What only a start can change is told as such.
+//! A thread reads the file when a signal requests it, and also polls it, since
+//! the file may change without a signal. A file with errors changes nothing.
+//! Changes that only take effect at the next start are logged as such.
 
 mod change;
 mod reader;
@@ -25,29 +25,29 @@
 use crate::retry::Budget;
 use crate::settings::Settings;
 use change::Change;
-use reader::{Asker, Reader, Reading};
+use reader::{Reader, Reading, Trigger};
 use watcher::Watcher;
 
-/// How often the file is looked at: an operator who changes it without a signal waits two looks.
-const LOOK: Duration = Duration::from_secs(1);
+/// How often the file is polled. A change without a signal takes effect after two polls.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The parts of a node whose settings may change while it runs.
-pub(crate) struct Parts {
+/// The components of a node whose settings can change while it runs.
+pub(crate) struct Components {
     pub(crate) budget: Rc<Budget>,
     pub(crate) entry: Rc<Entry>,
     pub(crate) freshness: Rc<Freshness>,
     pub(crate) quotas: Rc<Quotas>,
 }
 
-/// The settings in force and the file from which they come.
+/// The settings in force, and the state of reloading them from their file.
 pub(crate) struct Reload {
     settings: RefCell<Settings>,
     watcher: RefCell<Watcher>,
-    /// The file could not be read at the last look.
-    is_lost: Cell<bool>,
-    parts: RefCell<Option<Parts>>,
-    /// Asks for a look, once the file is read.
-    asker: RefCell<Option<Asker>>,
+    /// Whether the last attempt to read the file failed.
+    is_unreadable: Cell<bool>,
+    components: RefCell<Option<Components>>,
+    /// Requests a reload; set once the reader thread runs.
+    trigger: RefCell<Option<Trigger>>,
 }
 
 impl Service for Reload {
@@ -55,20 +55,20 @@
 }
 
 impl Reload {
-    /// Begins with the settings with which the node starts.
+    /// Starts with the settings that the node was started with.
     pub(crate) fn new(settings: Settings) -> Self {
         Self {
             settings: RefCell::new(settings),
             watcher: RefCell::default(),
-            is_lost: Cell::new(false),
-            parts: RefCell::default(),
-            asker: RefCell::default(),
+            is_unreadable: Cell::new(false),
+            components: RefCell::default(),
+            trigger: RefCell::default(),
         }
     }
 
-    /// Names the parts to which changes are told.
-    pub(crate) fn serve(&self, parts: Parts) {
-        self.parts.replace(Some(parts));
+    /// Sets the components to which changes are applied.
+    pub(crate) fn set_components(&self, components: Components) {
+        self.components.replace(Some(components));
     }
 
     /// Returns the settings in force.
@@ -76,71 +76,71 @@
         self.settings.borrow()
     }
 
-    /// Takes in what is read of the file for as long as the task lives.
-    pub(crate) async fn keep_looking(self: Rc<Self>) {
+    /// Applies changes of the file until its reader ends; returns at once if there is no file.
+    pub(crate) async fn run(self: Rc<Self>) {
         let Some(file) = self.settings.borrow().file.clone() else {
             return;
         };
-        let mut reader = match Reader::start(file.clone(), LOOK) {
-            Ok((reader, asker)) => {
-                self.asker.replace(Some(asker));
+        let mut reader = match Reader::start(file.clone(), POLL_INTERVAL) {
+            Ok((reader, trigger)) => {
+                self.trigger.replace(Some(trigger));
                 reader
             }
-            Err(error) => return self.note_lost(&file, &error, true),
+            Err(error) => return self.log_unreadable(&file, &error, true),
         };
         while let Some(reading) = reader.next().await {
-            self.take_reading(&file, reading);
+            self.handle_reading(&file, reading);
         }
     }
 
-    /// Reads the file again, since a signal asks for it.
+    /// Requests a reload, on behalf of a signal.
     pub(crate) fn request(&self) {
         emit(&catalogue::RELOAD_REQUESTED, &[]);
-        let asker = self.asker.borrow();
-        if !asker.as_ref().is_some_and(Asker::ask) {
-            let reason = "the settings file is not read";
+        let trigger = self.trigger.borrow();
+        if !trigger.as_ref().is_some_and(Trigger::request) {
+            let reason = "the settings file is not being read";
             emit(&catalogue::SETTINGS_REFUSED, &[("reason", &reason)]);
         }
     }
 
-    fn take_reading(&self, file: &Path, reading: Reading) {
-        let is_asked = reading.is_asked;
+    fn handle_reading(&self, file: &Path, reading: Reading) {
+        let is_requested = reading.is_requested;
         let text = match reading.text {
             Ok(text) => text,
-            Err(error) => return self.note_lost(file, &error, is_asked),
+            Err(error) => return self.log_unreadable(file, &error, is_requested),
         };
-        self.is_lost.set(false);
-        let Some(text) = self.watcher.borrow_mut().look(text, is_asked) else {
+        self.is_unreadable.set(false);
+        let Some(text) = self.watcher.borrow_mut().observe(text, is_requested) else {
             return;
         };
         match Settings::parse(&file.display().to_string(), &text) {
-            Ok(settings) => self.take(Settings {
+            Ok(settings) => self.apply(Settings {
                 file: Some(file.to_owned()),
                 ..settings
             }),
-            Err(problems) => refuse(&problems),
+            Err(problems) => log_rejected(&problems),
         }
     }
 
-    fn note_lost(&self, file: &Path, error: &std::io::Error, is_asked: bool) {
-        if self.is_lost.replace(true) && !is_asked {
+    fn log_unreadable(&self, file: &Path, error: &std::io::Error, is_requested: bool) {
+        if self.is_unreadable.replace(true) && !is_requested {
             return;
         }
         let reason = format!("{}: {error}", file.display());
         emit(&catalogue::SETTINGS_REFUSED, &[("reason", &reason)]);
     }
 
-    /// Puts what may change into force and tells the rest.
-    fn take(&self, next: Settings) {
-        let changes = change::between(&self.settings.borrow(), &next);
+    /// Applies the changes that can take effect now, and logs all changes.
+    fn apply(&self, next: Settings) {
+        let changes = change::diff(&self.settings.borrow(), &next);
         if changes.is_empty() {
             return;
         }
         let (in_force, next_start): (Vec<Change>, Vec<Change>) =
             changes.into_iter().partition(|change| change.is_live());
-        self.tell(&next);
-        let present = self.settings.borrow().clone();
-        self.settings.replace(next.with_fixed_from(present));
+        self.configure_components(&next);
+        let current = self.settings.borrow().clone();
+        self.settings.replace(next.with_fixed_from(current));
         emit(
             &catalogue::SETTINGS_CHANGED,
             &[
@@ -150,25 +150,25 @@
         );
     }
 
-    fn tell(&self, next: &Settings) {
+    fn configure_components(&self, next: &Settings) {
         sailtrack_log::set_level(next.log_level);
-        let parts = self.parts.borrow();
-        let Some(parts) = parts.as_ref() else {
+        let components = self.components.borrow();
+        let Some(components) = components.as_ref() else {
             return;
         };
-        parts.budget.set_bounds(next.retry);
-        parts.entry.memory.resize(next.body_memory());
-        parts
+        components.budget.set_bounds(next.retry);
+        components.entry.memory.resize(next.body_memory());
+        components
             .entry
             .max_pending_response_bytes
             .set(next.pending_response_memory());
-        parts
+        components
             .freshness
             .set_bound(next.revoke_time.map(|time| time.0));
-        parts.quotas.set_tolerance(next.quota);
+        components.quotas.set_tolerance(next.quota);
     }
 }
 
-fn refuse(problems: &Problems) {
+fn log_rejected(problems: &Problems) {
     emit(&catalogue::SETTINGS_REFUSED, &[("reason", problems)]);
 }
--- a/crates/mesh/src/reload/change.rs
+++ b/crates/mesh/src/reload/change.rs
@@ -1,10 +1,10 @@
-//! Which settings differ, and whether a running node can follow.
+//! Compares settings and tells which changes can take effect without a restart.
 
 use displaydoc::Display;
 
 use crate::settings::Settings;
 
-/// A setting, or some that belong together.
+/// A setting, or a group of settings that are applied together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(super) enum Change {
     /// [node] name, service, domain
@@ -32,8 +32,8 @@
 }
 
 impl Change {
-    /// Returns true if it takes effect while the node runs; the others are bound to sockets and
-    /// to what other nodes know of this one.
+    /// Returns true if the change takes effect while the node runs. The others concern open sockets
+    /// and the identity by which other nodes know this one.
     pub(super) fn is_live(self) -> bool {
         !matches!(
             self,
@@ -42,8 +42,9 @@
     }
 }
 
-/// Returns what differs; whether the mesh starts for the first time matters at a start only.
-pub(super) fn between(before: &Settings, after: &Settings) -> Vec<Change> {
+/// Returns the settings that differ. `first_start` is not compared, since it only matters at the
+/// start of a node.
+pub(super) fn diff(before: &Settings, after: &Settings) -> Vec<Change> {
     let compared = [
         (Change::Identity, before.identity != after.identity),
         (Change::Ports, before.ports != after.ports),
@@ -64,7 +65,7 @@
     differing.map(|(change, _)| change).collect()
 }
 
-/// Returns the names of all, for the log.
+/// Returns the names of the changed settings, for the log.
 pub(super) fn names(changes: &[Change]) -> String {
     let names: Vec<String> = changes.iter().map(ToString::to_string).collect();
     names.join("; ")
--- a/crates/mesh/src/reload/reader.rs
+++ b/crates/mesh/src/reload/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a file on a thread of its own: a file system that does not answer holds up no request.
+//! Reads a file on a separate thread, so that a hanging file system does not block requests.
 
 use std::io::{self, Write as _};
 use std::os::unix::net::UnixStream as StdStream;
@@ -8,90 +8,90 @@
 
 use sailtrack_net::wakes::Wakes;
 
-/// What one look at the file found.
+/// The result of reading the file once.
 #[derive(Debug)]
 pub(super) struct Reading {
     pub(super) text: io::Result<String>,
-    /// Somebody asked for it.
-    pub(super) is_asked: bool,
+    /// Whether the reading was requested, rather than due to polling.
+    pub(super) is_requested: bool,
 }
 
-/// Asks for a look at once.
+/// Requests immediate readings of the file.
 #[derive(Debug)]
-pub(super) struct Asker(Sender<()>);
+pub(super) struct Trigger(Sender<()>);
 
-impl Asker {
-    /// Asks for a look; returns false if the file is not read any more.
-    pub(super) fn ask(&self) -> bool {
+impl Trigger {
+    /// Requests a reading; returns false if the reader thread has ended.
+    pub(super) fn request(&self) -> bool {
         self.0.send(()).is_ok()
     }
 }
 
-/// Gives out what was read.
+/// Receives readings from the thread.
 #[derive(Debug)]
 pub(super) struct Reader {
     readings: Receiver<Reading>,
-    /// Brings one byte for each reading, which wakes the task that waits for it.
+    /// Receives one byte for each reading, which wakes the waiting task.
     wakes: Wakes,
 }
 
 impl Reader {
-    /// Begins to read a file each time that `pause` is over, and when it is asked for.
-    pub(super) fn start(file: PathBuf, pause: Duration) -> io::Result<(Self, Asker)> {
+    /// Starts a thread that reads a file at each `interval` and on request.
+    pub(super) fn start(file: PathBuf, interval: Duration) -> io::Result<(Self, Trigger)> {
         let (wakes, thread_side) = Wakes::pair()?;
-        let (asks, asked) = mpsc::channel();
+        let (trigger, requests) = mpsc::channel();
         let (sender, readings) = mpsc::channel();
-        let looks = Looks {
+        let worker = Worker {
             file,
-            pause,
-            asked,
+            interval,
+            requests,
             sender,
             waker: thread_side,
         };
         let thread = std::thread::Builder::new().name("settings".to_owned());
-        thread.spawn(move || looks.run())?;
-        Ok((Self { readings, wakes }, Asker(asks)))
+        thread.spawn(move || worker.run())?;
+        Ok((Self { readings, wakes }, Trigger(trigger)))
     }
 
-    /// Waits for the next reading; there is none any more once the thread has ended.
+    /// Waits for the next reading; returns `None` once the thread has ended.
     pub(super) async fn next(&mut self) -> Option<Reading> {
         let is_woken = matches!(self.wakes.next().await, Ok(true));
         is_woken.then(|| self.readings.try_recv().ok()).flatten()
     }
 }
 
-/// What the thread works with.
-struct Looks {
+/// The state of the reader thread.
+struct Worker {
     file: PathBuf,
-    pause: Duration,
-    asked: Receiver<()>,
+    interval: Duration,
+    requests: Receiver<()>,
     sender: Sender<Reading>,
     waker: StdStream,
 }
 
-impl Looks {
+impl Worker {
     fn run(mut self) {
         loop {
-            let is_asked = match self.asked.recv_timeout(self.pause) {
+            let is_requested = match self.requests.recv_timeout(self.interval) {
                 Ok(()) => true,
                 Err(RecvTimeoutError::Timeout) => false,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            if !self.tell(read(&self.file, is_asked)) {
+            if !self.send(read(&self.file, is_requested)) {
                 return;
             }
         }
     }
 
-    /// Hands a reading over; returns false if nobody waits for it any more.
-    fn tell(&mut self, reading: Reading) -> bool {
+    /// Sends a reading; returns false if the receiver is gone.
+    fn send(&mut self, reading: Reading) -> bool {
         self.sender.send(reading).is_ok() && self.waker.write_all(&[0]).is_ok()
     }
 }
 
-fn read(file: &Path, is_asked: bool) -> Reading {
+fn read(file: &Path, is_requested: bool) -> Reading {
     Reading {
         text: std::fs::read_to_string(file),
-        is_asked,
+        is_requested,
     }
 }
--- a/crates/mesh/src/reload/tests.rs
+++ b/crates/mesh/src/reload/tests.rs
@@ -1,4 +1,4 @@
-use super::change::{Change, between};
+use super::change::{Change, diff};
 use super::watcher::Watcher;
 use crate::settings::Settings;
 
@@ -9,54 +9,63 @@
 
 fn settings(from: &str, to: &str) -> Settings {
     assert!(TEXT.contains(from), "{from}");
-    Settings::parse("node.ini", &TEXT.replace(from, to)).expect("sound settings")
+    Settings::parse("node.ini", &TEXT.replace(from, to)).expect("valid settings")
 }
 
-/// A watcher that has taken the text in with which the node started.
+/// Returns a watcher that has applied the text with which the node started.
 fn after_one() -> Watcher {
     let mut watcher = Watcher::default();
-    assert_eq!(watcher.look("one".to_owned(), true).as_deref(), Some("one"));
+    assert_eq!(
+        watcher.observe("one".to_owned(), true).as_deref(),
+        Some("one")
+    );
     watcher
 }
 
 #[test]
 fn twice_seen() {
     let mut watcher = after_one();
-    assert_eq!(watcher.look("one".to_owned(), false), None);
-    assert_eq!(watcher.look("tw".to_owned(), false), None);
-    assert_eq!(watcher.look("two".to_owned(), false), None);
+    assert_eq!(watcher.observe("one".to_owned(), false), None);
+    assert_eq!(watcher.observe("tw".to_owned(), false), None);
+    assert_eq!(watcher.observe("two".to_owned(), false), None);
     assert_eq!(
-        watcher.look("two".to_owned(), false).as_deref(),
+        watcher.observe("two".to_owned(), false).as_deref(),
         Some("two")
     );
-    assert_eq!(watcher.look("two".to_owned(), false), None);
+    assert_eq!(watcher.observe("two".to_owned(), false), None);
 }
 
 #[test]
 fn asked_for() {
     let mut watcher = after_one();
-    assert_eq!(watcher.look("two".to_owned(), true).as_deref(), Some("two"));
-    assert_eq!(watcher.look("two".to_owned(), true), None);
-    assert_eq!(watcher.look("one".to_owned(), true).as_deref(), Some("one"));
+    assert_eq!(
+        watcher.observe("two".to_owned(), true).as_deref(),
+        Some("two")
+    );
+    assert_eq!(watcher.observe("two".to_owned(), true), None);
+    assert_eq!(
+        watcher.observe("one".to_owned(), true).as_deref(),
+        Some("one")
+    );
 }
 
 #[test]
 fn changes_back() {
     let mut watcher = after_one();
-    assert_eq!(watcher.look("two".to_owned(), false), None);
-    assert_eq!(watcher.look("one".to_owned(), false), None);
-    assert_eq!(watcher.look("two".to_owned(), false), None);
+    assert_eq!(watcher.observe("two".to_owned(), false), None);
+    assert_eq!(watcher.observe("one".to_owned(), false), None);
+    assert_eq!(watcher.observe("two".to_owned(), false), None);
 }
 
 #[test]
 fn live_changes() {
     let before = settings("name = a", "name = a");
     let after = settings("retry-slack = 100", "retry-slack = 90");
-    assert_eq!(between(&before, &after), [Change::Retry]);
+    assert_eq!(diff(&before, &after), [Change::Retry]);
     assert!(Change::Retry.is_live());
     let after = settings("stop-time = 6s", "stop-time = 5s\nrevoke-time = 4s");
     assert_eq!(
-        between(&before, &after),
+        diff(&before, &after),
         [Change::StopTime, Change::RevokeTime]
     );
 }
@@ -65,7 +74,7 @@
 fn fixed_changes() {
     let before = settings("name = a", "name = a");
     let after = settings("entry = 127.0.0.1:1", "entry = 127.0.0.1:9");
-    assert_eq!(between(&before, &after), [Change::Ports]);
+    assert_eq!(diff(&before, &after), [Change::Ports]);
     assert!(!Change::Ports.is_live());
     let kept = after.with_fixed_from(before.clone());
     assert_eq!(kept.ports, before.ports);
--- a/crates/mesh/src/reload/watcher.rs
+++ b/crates/mesh/src/reload/watcher.rs
@@ -1,28 +1,28 @@
-//! Tells when a file that is looked at from time to time has a new text.
+//! Decides when the new text of a polled file is applied.
 
-/// The text of a file as it was taken in last, and as it was seen since.
+/// The text of a file that was applied last, and a newer one that was read once.
 #[derive(Debug, Default)]
 pub(super) struct Watcher {
-    taken: Option<String>,
-    seen: Option<String>,
+    applied: Option<String>,
+    candidate: Option<String>,
 }
 
 impl Watcher {
-    /// Returns the text if it is a new one that is to be taken in.
+    /// Returns the text if it is new and to be applied.
     ///
-    /// Unasked it is taken in at the second look that finds it: at the first one it may be half
-    /// written.
-    pub(super) fn look(&mut self, text: String, is_asked: bool) -> Option<String> {
-        if self.taken.as_ref() == Some(&text) {
-            self.seen = None;
+    /// Unless the reading was requested, a new text is applied when two readings in a row return
+    /// it, since the first may see a file that is still being written.
+    pub(super) fn observe(&mut self, text: String, is_requested: bool) -> Option<String> {
+        if self.applied.as_ref() == Some(&text) {
+            self.candidate = None;
             return None;
         }
-        if !is_asked && self.seen.as_ref() != Some(&text) {
-            self.seen = Some(text);
+        if !is_requested && self.candidate.as_ref() != Some(&text) {
+            self.candidate = Some(text);
             return None;
         }
-        self.seen = None;
-        self.taken = Some(text.clone());
+        self.candidate = None;
+        self.applied = Some(text.clone());
         Some(text)
     }
 }
