--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts the services of a mesh node together and leads it through its lifecycle.
+//! Assembles the services of a mesh node and runs it from start to shutdown.
 
 mod start;
 mod stop;
@@ -22,12 +22,12 @@
 use crate::settings::Settings;
 use crate::store::Store;
 
-/// How often waiting for a condition looks at it.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a condition that the node waits for is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Who may enter an upstream. A request waits no longer than one of middle length runs; beyond
-/// that another upstream serves it sooner. A call of a request in progress waits longer: refusing
-/// it loses the calls that were made before it.
+/// Admission to the own upstream. A root request is queued no longer than a medium request takes;
+/// beyond that another upstream would serve it sooner. A nested call is queued longer, since
+/// refusing it wastes the calls already made for its root request.
 pub(crate) const ADMISSION_CONFIG: Config = Config {
     policy: Policy::Adaptive,
     fixed_limit: 100,
@@ -36,15 +36,15 @@
     warm_up: Period::from_millis(2000),
 };
 
-/// What a mesh node meets in the place where it runs.
+/// The platform on which a mesh node runs.
 pub struct Environment {
-    /// The names and formats there.
+    /// The platform's names and formats.
     pub dialect: Rc<dyn Dialect>,
-    /// The store there.
+    /// The platform's store.
     pub store: Rc<dyn Store>,
 }
 
-/// Runs a node from its start to its planned stop.
+/// Runs a node from start to graceful shutdown.
 pub(crate) async fn run(settings: Settings, environment: Environment) -> Result<(), Error> {
     let mut signals = Signals::install().map_err(Error::Signal)?;
     let lifecycle = Lifecycle::<Joining>::default();
@@ -60,12 +60,12 @@
     let reload = table.find::<Reload>()?;
     let configured = async {
         while current.get().is_none() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     let is_configured = monoio::select! {
         () = configured => true,
-        result = stop::wait_for_stop(&mut signals, &reload) => {
+        result = stop::wait_for_shutdown(&mut signals, &reload) => {
             result?;
             false
         }
@@ -73,7 +73,7 @@
     if is_configured {
         let lifecycle = lifecycle.serve();
         start::publish(&table)?;
-        stop::wait_for_stop(&mut signals, &reload).await?;
+        stop::wait_for_shutdown(&mut signals, &reload).await?;
         stop::drain(&table, lifecycle.drain(), &in_flight).await?;
     } else {
         let _stopped = lifecycle.abandon();
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Returns true for the signal that asks for an end.
-fn is_stop(signal: Signal) -> bool {
+/// Returns true for the signal that requests a shutdown.
+fn is_shutdown(signal: Signal) -> bool {
     signal == Signal::Terminate
 }
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Makes the services of a mesh node, installs them in the table and starts their tasks.
+//! Creates the services of a mesh node, installs them in the service table and starts their tasks.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -41,10 +41,10 @@
 use crate::suspension;
 use crate::watch::Watch;
 
-/// How many nodes with a newer configuration wait to be asked.
-const PROVIDERS: usize = 16;
+/// The most nodes with a newer configuration that are queued for a fetch.
+const MAX_PROVIDERS: usize = 16;
 
-/// The sockets of a node, all open before anything is started.
+/// The sockets of a node, all of which are opened before any service starts.
 struct Sockets {
     entry: TcpListener,
     peer: TcpListener,
@@ -53,7 +53,7 @@
     metrics: Option<Port>,
 }
 
-/// Starts all services of a node.
+/// Installs and starts all services of a node.
 pub(super) fn start(
     table: &Rc<Table>,
     settings: &Settings,
@@ -62,21 +62,21 @@
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let sockets = open(settings)?;
-    let (wanted, wishes) = mpsc::channel(1);
-    install_state(table, settings, environment, lifecycle, wanted)?;
+    let (token_requests, token_request_receiver) = mpsc::channel(1);
+    install_state(table, settings, environment, lifecycle, token_requests)?;
     let providers = install_network(table, settings)?;
-    install_path(table, settings, environment, in_flight)?;
-    install_intake(table, settings, environment, lifecycle, in_flight)?;
-    tasks::listen(table, settings)?;
-    tasks::follow_settings(table)?;
-    tasks::keep_quotas(table, environment, wishes)?;
-    tasks::ramp_up_together(table)?;
-    store::follow_store(table, settings, environment)?;
-    tasks::meet_peers(table, providers)?;
+    install_forwarding(table, settings, environment, in_flight)?;
+    install_receivers(table, settings, environment, lifecycle, in_flight)?;
+    tasks::connect_services(table, settings)?;
+    tasks::watch_settings(table)?;
+    tasks::start_quotas(table, environment, token_request_receiver)?;
+    tasks::ramp_up_after_mass_start(table)?;
+    store::start(table, settings, environment)?;
+    tasks::start_peer_tasks(table, providers)?;
     start_ports(table, environment, lifecycle, sockets)
 }
 
-/// Tells other nodes at once what this one is like.
+/// Publishes the status of this node to other nodes immediately.
 pub(super) fn publish(table: &Table) -> Result<(), Missing> {
     table.find::<Status>()?.publish();
     Ok(())
@@ -89,13 +89,13 @@
         entry: listen("entry", ports.entry)?,
         peer: listen("peer", ports.peer)?,
         ready: Port::open("ready", ports.ready, Limits::server())
-            .map_err(|error| failed("ready", ports.ready, error))?,
+            .map_err(|error| port_error("ready", ports.ready, error))?,
         announcements: announcements
-            .map_err(|error| failed("announcements", ports.announcements, error))?,
+            .map_err(|error| port_error("announcements", ports.announcements, error))?,
         metrics: match ports.metrics {
             Some(address) => Some(
                 Port::open("metrics", address, Limits::server())
-                    .map_err(|error| failed("metrics", address, error))?,
+                    .map_err(|error| port_error("metrics", address, error))?,
             ),
             None => None,
         },
@@ -103,10 +103,10 @@
 }
 
 fn listen(port: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
-    TcpListener::bind(address).map_err(|error| failed(port, address, error))
+    TcpListener::bind(address).map_err(|error| port_error(port, address, error))
 }
 
-fn failed(port: &'static str, address: SocketAddr, error: io::Error) -> Error {
+fn port_error(port: &'static str, address: SocketAddr, error: io::Error) -> Error {
     Error::Port {
         port,
         address,
@@ -119,7 +119,7 @@
     settings: &Settings,
     environment: &Environment,
     lifecycle: &Lifecycle<Joining>,
-    wanted: mpsc::Sender<()>,
+    token_requests: mpsc::Sender<()>,
 ) -> Result<(), Error> {
     let identity = &settings.identity;
     table.install(Reload::new(settings.clone()));
@@ -156,7 +156,7 @@
         },
         settings.quota,
         (table.find()?, table.find()?, table.find()?),
-        wanted,
+        token_requests,
     ));
     table.install(Status {
         incarnation,
@@ -177,8 +177,8 @@
 }
 
 fn install_network(table: &Table, settings: &Settings) -> Result<mpsc::Receiver<Provider>, Error> {
-    let (providers, receiver) = mpsc::channel(PROVIDERS);
-    let listener: Rc<dyn Delegate> = Rc::new(Handler {
+    let (providers, receiver) = mpsc::channel(MAX_PROVIDERS);
+    let delegate: Rc<dyn Delegate> = Rc::new(Handler {
         directory: table.find()?,
         current: table.find()?,
         retired: table.find()?,
@@ -189,7 +189,7 @@
         providers: RefCell::new(providers),
     });
     let domain = settings.identity.domain.clone();
-    let peers = Peers::new(settings.ports.peer.ip(), domain, listener);
+    let peers = Peers::new(settings.ports.peer.ip(), domain, delegate);
     let peers = table.install(peers);
     table.install(suspension::Detector::new(Rc::clone(&peers)));
     let identity = &settings.identity;
@@ -204,8 +204,8 @@
     Ok(receiver)
 }
 
-/// Installs what brings a request to an upstream.
-fn install_path(
+/// Installs the services that forward requests to upstreams.
+fn install_forwarding(
     table: &Table,
     settings: &Settings,
     environment: &Environment,
@@ -250,8 +250,9 @@
     Ok(())
 }
 
-/// Installs what takes in requests, the messages of other nodes and those of the own upstream.
-fn install_intake(
+/// Installs the services that receive requests, messages of other nodes, and announcements of the
+/// own upstream.
+fn install_receivers(
     table: &Table,
     settings: &Settings,
     environment: &Environment,
--- a/crates/mesh/src/node/stop.rs
+++ b/crates/mesh/src/node/stop.rs
@@ -1,4 +1,4 @@
-//! Ends a node without cutting anything.
+//! Graceful shutdown of a node.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,36 +13,37 @@
 use crate::clock;
 use crate::entry::Entry;
 use crate::gate::Upstream;
-use crate::node::{LOOK, is_stop, start};
+use crate::node::{POLL_INTERVAL, is_shutdown, start};
 use crate::quota::Election;
 use crate::reload::Reload;
 
-/// How long a leaving node goes on taking requests: whoever asks once a second whether it is
-/// ready has been told no twice by then.
-const LEAVING_TIME: Duration = Duration::from_millis(2300);
-/// How long it lets requests to its upstream in: the upstream can be reached through no other
-/// node, and goes without work until this one is back.
-const GATE_TIME: Duration = Duration::from_millis(1600);
-/// It ends once nothing has been in flight for this long.
-const QUIET_TIME: Duration = Duration::from_millis(200);
-/// After this share of the time for a stop no new requests of clients are taken: a client may go
-/// on sending when too few other nodes are ready, and what is taken has to be finished.
-const TAKING_SHARE: f64 = 0.45;
-/// How long before the end of the time for a stop it ends in any case.
+/// Shortest drain, during which the node keeps accepting requests. A readiness probe that runs once
+/// a second has failed twice by then.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(2300);
+/// How long a draining node still accepts requests for its upstream, which can only be reached
+/// through this node and is idle until the node is back.
+const GATE_OPEN_TIME: Duration = Duration::from_millis(1600);
+/// The drain ends once nothing has been in flight for this long.
+const IDLE_TIME: Duration = Duration::from_millis(200);
+/// After this share of the shutdown time, no new requests of clients are accepted. A client may
+/// keep sending if too few other nodes are ready, and accepted requests have to be finished.
+const ACCEPT_SHARE: f64 = 0.45;
+/// How long before the end of the shutdown time the drain ends in any case.
 const RESERVE: Duration = Duration::from_millis(300);
 
-/// Waits for the signal that asks for an end; another one asks for the settings to be read again.
-pub(super) async fn wait_for_stop(signals: &mut Signals, reload: &Reload) -> Result<(), Error> {
+/// Waits for a shutdown signal; the other signal requests a reload of the settings.
+pub(super) async fn wait_for_shutdown(signals: &mut Signals, reload: &Reload) -> Result<(), Error> {
     loop {
         let signal = signals.next().await.map_err(Error::Signal)?;
-        if is_stop(signal) {
+        if is_shutdown(signal) {
             return Ok(());
         }
         reload.request();
     }
 }
 
-/// Tells everybody that the node leaves, and ends once nothing is in flight.
+/// Announces that the node is shutting down, and returns once nothing is in flight or the shutdown
+/// time is nearly over.
 pub(super) async fn drain(
     table: &Table,
     lifecycle: Lifecycle<Draining>,
@@ -53,31 +54,31 @@
         &[("in_flight", &in_flight.get())],
     );
     start::publish(table)?;
-    // Who waits for the end counts the time in which the instance is suspended.
-    let began = clock::now();
+    // The shutdown time is enforced from outside and also passes while the instance is suspended.
+    let start_time = clock::now();
     let stop_time = table.find::<Reload>()?.settings().stop_time.0;
-    let longest = stop_time.saturating_sub(RESERVE);
-    let mut busy = began;
+    let max_time = stop_time.saturating_sub(RESERVE);
+    let mut last_busy = start_time;
     let election = table.find::<Election>()?;
     task::spawn("resignation", async move { election.resign().await });
     let entry = table.find::<Entry>()?;
     let upstream = table.find::<Upstream>()?;
-    let taking = stop_time.mul_f64(TAKING_SHARE);
+    let accept_time = stop_time.mul_f64(ACCEPT_SHARE);
     loop {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
         let now = clock::now();
-        let passed = now.since(began);
-        if passed >= GATE_TIME {
+        let elapsed = now.since(start_time);
+        if elapsed >= GATE_OPEN_TIME {
             upstream.close();
         }
-        if passed >= taking {
+        if elapsed >= accept_time {
             entry.close();
         }
         if in_flight.get() > 0 {
-            busy = now;
+            last_busy = now;
         }
-        let is_quiet = now.since(busy) >= QUIET_TIME && passed >= LEAVING_TIME;
-        if is_quiet || passed >= longest {
+        let is_idle = now.since(last_busy) >= IDLE_TIME && elapsed >= MIN_DRAIN_TIME;
+        if is_idle || elapsed >= max_time {
             break;
         }
     }
--- a/crates/mesh/src/node/store.rs
+++ b/crates/mesh/src/node/store.rs
@@ -1,4 +1,4 @@
-//! The tasks that follow the store.
+//! The tasks that keep this node in step with the store.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -28,42 +28,45 @@
 };
 use crate::watch::Watch;
 
-/// How long changes of members are gathered. Nodes that start together write their rows within
-/// some 0.3 s. Later a new node connects to those that it finds, so others know it before they
-/// read its row.
+/// Debounce times for changes of members. Nodes that start together write their rows within some
+/// 0.3 s. Later changes may be gathered for longer, since a new node connects to the nodes that it
+/// finds, which thus know it before they read its row.
 const DEBOUNCE: Debounce = Debounce {
     after_snapshot: Duration::from_millis(400),
     after_changes: Duration::from_millis(1500),
 };
-/// How long every node follows the configuration after the store came back from a copy.
-const COPY_TIME: Duration = Duration::from_mins(1);
-/// The pause after the own row could not be written.
-const ROW_PAUSE: Duration = Duration::from_millis(500);
-/// How long the first write of the own row holds up the reading of the others. Rows that are
-/// written before they are read make nodes that start together known to each other with one call:
-/// of two of them, the one that reads last finds the other.
-const FIRST_WRITE_TIME: Duration = Duration::from_secs(2);
+/// How long every node follows the configuration table after the store was restored from a backup.
+const RESTORE_TIME: Duration = Duration::from_mins(1);
+/// The shortest delay before a failed write of the own row is retried.
+const ROW_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// How long the first write of the own row may delay reading the rows of other nodes. If each node
+/// writes before it reads, then of two nodes that start together the one that reads last finds the
+/// other, and one read per node is enough.
+const FIRST_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Offers the rows of the configuration table to the configuration in force.
+/// Applies rows of the configuration table to the configuration in force.
 struct ConfigurationRows {
     current: Rc<Current>,
     watch: Rc<Watch>,
     freshness: Rc<Freshness>,
     clock: Rc<Clock>,
     status: Rc<Status>,
-    /// When an answer was asked for at once, to read the clock of the store.
-    read_clock: Cell<Moment>,
-    /// The era in which the whole table was read.
+    /// When the store was last polled without waiting for changes, in order to read its clock.
+    last_clock_poll: Cell<Moment>,
+    /// The store era in which the whole table was last read.
     era: Cell<Era>,
 }
 
 impl Follower for ConfigurationRows {
-    /// After a copy every node reads what is there, and follows for a while: what is written again
-    /// may repeat a version with other content, and nodes that have that version fetch no other.
+    /// After the store was restored from a backup, every node reads the whole table and follows it
+    /// for a while. A version number may be written again with other content, and nodes that already
+    /// have that version would not fetch it from each other.
     fn wants_changes(&self) -> bool {
-        let copied = self.clock.restored_at();
-        let is_new = |copied: Moment| clock::now().since(copied) < COPY_TIME;
-        self.watch.is_active() || self.era.get() != self.clock.era() || copied.is_some_and(is_new)
+        let restored = self.clock.restored_at();
+        let is_recent = |restored: Moment| clock::now().since(restored) < RESTORE_TIME;
+        self.watch.is_active()
+            || self.era.get() != self.clock.era()
+            || restored.is_some_and(is_recent)
     }
 
     fn observe_era(&self, era: Era) -> bool {
@@ -76,27 +79,28 @@
 
     fn poll_timeout(&self) -> Duration {
         let now = clock::now();
-        let renewal = self.freshness.poll_interval(now);
-        let Some(renewal) = renewal.filter(|_| self.watch.is_active()) else {
+        let interval = self.freshness.poll_interval(now);
+        let Some(interval) = interval.filter(|_| self.watch.is_active()) else {
             return store::LONG_POLL_TIMEOUT;
         };
-        // An answer that waited for changes tells little of what the clock shows by now.
-        let was_read = now.since(self.read_clock.get()) < renewal;
+        // The time in the answer of a long poll may be as old as the poll, so it says little about
+        // the current time of the store.
+        let was_read = now.since(self.last_clock_poll.get()) < interval;
         if was_read || !self.clock.needs_refresh(now) {
-            return renewal;
+            return interval;
         }
-        self.read_clock.set(now);
+        self.last_clock_poll.set(now);
         Duration::ZERO
     }
 
     fn confirm(&self, asked: Moment, as_of: StoreTime) {
         self.clock.record(asked, clock::now(), as_of);
         let version = self.current.version();
-        let is_news = self
+        let is_newer = self
             .freshness
             .confirm_by_store(as_of, version, clock::now());
-        if is_news && self.freshness.is_bounded() {
-            // The others count on it at once, and their callers with them.
+        if is_newer && self.freshness.is_bounded() {
+            // Other nodes need the newer time at once in order to keep accepting requests with keys.
             self.status.publish();
         }
     }
@@ -109,7 +113,8 @@
     fn apply_changes(&self, rows: &[Row]) {
         for row in rows {
             match &row.content {
-                // What cannot be read is logged there, and the present version stays in force.
+                // An invalid configuration is logged by `offer`, and the current version stays in
+                // force.
                 Content::Text(text) => {
                     let era = self.clock.era();
                     drop(self.current.offer(text, Source::Store(era)));
@@ -121,7 +126,7 @@
     }
 }
 
-/// Tells the directory of the rows of nodes.
+/// Applies rows of the member table to the directory.
 struct MemberRows {
     directory: Rc<Directory>,
     watch: Rc<Watch>,
@@ -129,8 +134,8 @@
 }
 
 impl Follower for MemberRows {
-    /// A node follows until it has seen its own row, so that it misses none that was written
-    /// meanwhile. Nodes that start later connect to it themselves.
+    /// A node follows the table at least until it has seen its own row, so that it misses no row
+    /// written before that. Nodes that start later connect to it themselves.
     fn wants_changes(&self) -> bool {
         !self.directory.has_own_row() || self.watch.is_active()
     }
@@ -160,8 +165,8 @@
     }
 }
 
-/// Starts what follows the store.
-pub(super) fn follow_store(
+/// Starts the tasks that follow the store, and registers callbacks for its changes.
+pub(super) fn start(
     table: &Table,
     settings: &Settings,
     environment: &Environment,
@@ -204,12 +209,12 @@
         freshness: table.find()?,
         clock: table.find()?,
         status: table.find()?,
-        read_clock: Cell::default(),
+        last_clock_poll: Cell::default(),
         era: Cell::default(),
     });
     let store = Rc::clone(&environment.store);
-    let reach = table.find::<Reachability>()?;
-    let following = follow(store, StoreTable::Configuration, reach, rows);
+    let reachability = table.find::<Reachability>()?;
+    let following = follow(store, StoreTable::Configuration, reachability, rows);
     task::spawn("configuration", following);
     Ok(())
 }
@@ -226,38 +231,38 @@
         clock: table.find()?,
     });
     let store = Rc::clone(&environment.store);
-    let reach = table.find::<Reachability>()?;
+    let reachability = table.find::<Reachability>()?;
     let is_first = settings.first_start;
     task::spawn("members", async move {
         if is_first {
             let writing = write_row(&*store, directory.own());
-            // A row that is not there by then is written once it is found missing.
-            let _ = timeout(FIRST_WRITE_TIME, writing).await;
+            // If the write takes longer, the row is written again once it is found missing.
+            let _ = timeout(FIRST_WRITE_TIMEOUT, writing).await;
         }
-        follow(store, StoreTable::Members, reach, rows).await;
+        follow(store, StoreTable::Members, reachability, rows).await;
     });
     Ok(())
 }
 
-/// Writes the own row whenever it is missing.
+/// Starts the task that writes the own row whenever it is missing.
 fn keep_own_row(table: &Table, environment: &Environment) -> Result<(), Error> {
     let directory = table.find::<Directory>()?;
-    let (lost, mut losses) = mpsc::channel(1);
-    let lost = RefCell::new(lost);
+    let (missing, mut missing_receiver) = mpsc::channel(1);
+    let missing = RefCell::new(missing);
     directory.on_own_row_lost(move || {
-        // A full channel holds the same news.
-        let _ = lost.borrow_mut().try_send(());
+        // If the channel is full, a write is already due.
+        let _ = missing.borrow_mut().try_send(());
     });
     let store = Rc::clone(&environment.store);
     task::spawn("own row", async move {
-        while losses.next().await.is_some() {
+        while missing_receiver.next().await.is_some() {
             write_row(&*store, directory.own()).await;
         }
     });
     Ok(())
 }
 
-/// Writes the row by which other nodes find this one.
+/// Writes the row by which other nodes find this one, with retries until it succeeds.
 async fn write_row(store: &dyn Store, own: &Member) {
     let row = own.to_row();
     while let Err(error) = store
@@ -268,6 +273,6 @@
             &catalogue::STORE_FAILED,
             &[("operation", &"write own row"), ("reason", &error)],
         );
-        sleep(ROW_PAUSE.mul_f64(rand::rng().random_range(1.0..2.0))).await;
+        sleep(ROW_RETRY_DELAY.mul_f64(rand::rng().random_range(1.0..2.0))).await;
     }
 }
--- a/crates/mesh/src/node/tasks.rs
+++ b/crates/mesh/src/node/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that tell the parts of a node, and other nodes, what changes.
+//! Connects the services of a node to each other's changes, and starts background tasks.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -25,22 +25,22 @@
 use crate::status::Status;
 use crate::suspension;
 
-/// A node that has run for no longer, among others that have run for no longer, is one of many
-/// that were started at once, and their clients come back at once. One that is started anew while
-/// the others serve takes its usual share: beginning small there would refuse requests at
-/// each planned stop.
-const YOUNG_TIME: Duration = Duration::from_secs(5);
-/// How often the ages of the other nodes are looked at.
-const AGE_LOOK: Duration = Duration::from_millis(20);
+/// Nodes that have all run for less than this were started together, and all their clients return
+/// at once, so admission windows start small. A node that restarts while the others keep serving
+/// takes its usual share at once, since small windows would refuse requests at each planned
+/// restart.
+const MASS_START_TIME: Duration = Duration::from_secs(5);
+/// How often the ages of the other nodes are checked.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Tells the parts of the node when the configuration or the own upstream changes.
-pub(super) fn listen(table: &Table, settings: &Settings) -> Result<(), Error> {
+/// Registers callbacks for changes of the configuration and of the own upstream.
+pub(super) fn connect_services(table: &Table, settings: &Settings) -> Result<(), Error> {
     let current = table.find::<Current>()?;
     let gate = table.find::<Gate>()?;
     let service = settings.identity.service.clone();
-    let bounded = Rc::clone(&current);
+    let limited = Rc::clone(&current);
     current.on_change(move || {
-        let configuration = bounded.get();
+        let configuration = limited.get();
         let rules = configuration
             .as_ref()
             .and_then(|known| known.service(&service));
@@ -60,14 +60,14 @@
         metrics.limit_kinds(counted.get().map_or(0, |current| current.route_count()));
     });
     let status = table.find::<Status>()?;
-    let told = Rc::clone(&status);
-    current.on_change(move || told.publish());
+    let publisher = Rc::clone(&status);
+    current.on_change(move || publisher.publish());
     upstream.on_availability_change(move || status.publish());
     Ok(())
 }
 
-/// Starts what follows the settings file.
-pub(super) fn follow_settings(table: &Table) -> Result<(), Error> {
+/// Starts the task that reloads the settings file.
+pub(super) fn watch_settings(table: &Table) -> Result<(), Error> {
     let reload = table.find::<Reload>()?;
     reload.set_components(Components {
         budget: table.find()?,
@@ -79,11 +79,11 @@
     Ok(())
 }
 
-/// Starts what keeps the limits of workspaces.
-pub(super) fn keep_quotas(
+/// Starts the tasks that enforce the quotas of workspaces.
+pub(super) fn start_quotas(
     table: &Table,
     environment: &Environment,
-    wishes: mpsc::Receiver<()>,
+    token_requests: mpsc::Receiver<()>,
 ) -> Result<(), Error> {
     let current = table.find::<Current>()?;
     let quotas = table.find::<Quotas>()?;
@@ -97,7 +97,7 @@
         quotas: table.find()?,
         peers: table.find()?,
     };
-    task::spawn("token questions", fetcher.run(wishes));
+    task::spawn("token questions", fetcher.run(token_requests));
     let election = table.install(Election {
         quotas: table.find()?,
         peers: table.find()?,
@@ -114,34 +114,37 @@
     Ok(())
 }
 
-/// Lets windows begin small while this node and most others have just been started.
-pub(super) fn ramp_up_together(table: &Table) -> Result<(), Error> {
+/// Starts with small admission windows if most nodes were started together with this one.
+pub(super) fn ramp_up_after_mass_start(table: &Table) -> Result<(), Error> {
     let windows = table.find::<Windows>()?;
     let upstream = table.find::<Upstream>()?;
     let peers = table.find::<Peers>()?;
     let incarnation = table.find::<Status>()?.incarnation;
     let started = Instant::now();
     table.find::<Upstream>()?.on_new_incarnation(move || {
-        if started.elapsed() > YOUNG_TIME {
+        if started.elapsed() > MASS_START_TIME {
             return;
         }
         windows.ramp_up(Instant::now(), upstream.slots());
         let (windows, peers) = (Rc::clone(&windows), Rc::clone(&peers));
         task::spawn("ramp up", async move {
-            while started.elapsed() < YOUNG_TIME {
-                if peers.majority_started_before(incarnation, YOUNG_TIME) {
+            while started.elapsed() < MASS_START_TIME {
+                if peers.majority_started_before(incarnation, MASS_START_TIME) {
                     windows.end_ramp_up();
                     return;
                 }
-                sleep(AGE_LOOK).await;
+                sleep(AGE_CHECK_INTERVAL).await;
             }
         });
     });
     Ok(())
 }
 
-/// Starts what tells other nodes and asks them.
-pub(super) fn meet_peers(table: &Table, providers: mpsc::Receiver<Provider>) -> Result<(), Error> {
+/// Starts the tasks that exchange status and configuration with other nodes.
+pub(super) fn start_peer_tasks(
+    table: &Table,
+    providers: mpsc::Receiver<Provider>,
+) -> Result<(), Error> {
     let status = table.find::<Status>()?;
     let directory = table.find::<Directory>()?;
     task::spawn("presence", publish_periodically(status, directory));
