--- a/crates/kernel/src/error.rs
+++ b/crates/kernel/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a program of the product ends with a failure.
+//! Errors that end a process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,24 +8,24 @@
 
 use crate::table::Missing;
 
-/// Why a program of the product ends with a failure.
+/// An error that ends a process.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// the settings are not sound:
+    /// invalid settings:
     /// {0}
     Settings(Problems),
-    /// the runtime cannot start: {0}
+    /// cannot start the runtime: {0}
     Runtime(io::Error),
     /// cannot open the {port} port on {address}: {error}
     Port {
-        /// Which port.
+        /// The name of the port.
         port: &'static str,
-        /// Its address.
+        /// The address to which it was to be bound.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// cannot take over a signal: {0}
+    /// cannot handle signals: {0}
     Signal(io::Error),
     /// {0}
     Service(Missing),
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! The micro-kernel: a table of services that find each other by name, and the
-//! life cycle of the process that holds them, with why it fails.
+//! The basis of every sailtrack process: a table in which services find each
+//! other by name, the lifecycle of the process, and the errors that end it.
 
 mod error;
 mod lifecycle;
--- a/crates/kernel/src/lifecycle.rs
+++ b/crates/kernel/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a process, as types that only move forward.
+//! The lifecycle of a process as a typestate: each transition consumes the previous state.
 
 use std::cell::Cell;
 use std::marker::PhantomData;
@@ -6,7 +6,7 @@
 
 use displaydoc::Display;
 
-/// Where a process is in its life.
+/// The current state of a process's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Phase {
     /// joining
@@ -19,23 +19,23 @@
     Stopped,
 }
 
-/// Marks a process that has no configuration yet and takes no work.
+/// The state of a process that has no configuration yet and accepts no requests.
 #[derive(Debug)]
 pub struct Joining;
 
-/// Marks a process that takes work.
+/// The state of a process that accepts requests.
 #[derive(Debug)]
 pub struct Serving;
 
-/// Marks a process that takes no new work and finishes what it has.
+/// The state of a process that is shutting down and finishes the requests in flight.
 #[derive(Debug)]
 pub struct Draining;
 
-/// Marks a process that has finished its work.
+/// The state of a process that has shut down.
 #[derive(Debug)]
 pub struct Stopped;
 
-/// A life in one state; each step consumes it and returns the next state.
+/// The lifecycle of a process in one state; a transition consumes it and returns the next state.
 #[derive(Debug)]
 pub struct Lifecycle<State> {
     phase: Rc<Cell<Phase>>,
@@ -43,7 +43,7 @@
 }
 
 impl<State> Lifecycle<State> {
-    /// Returns a handle through which the phase can be read at any time.
+    /// Returns a shared cell that always holds the current phase.
     #[must_use]
     pub fn phase(&self) -> Rc<Cell<Phase>> {
         Rc::clone(&self.phase)
@@ -68,13 +68,13 @@
 }
 
 impl Lifecycle<Joining> {
-    /// Begins to take work.
+    /// Starts to accept requests.
     #[must_use]
     pub fn serve(self) -> Lifecycle<Serving> {
         self.transition(Phase::Serving)
     }
 
-    /// Ends a life that never served.
+    /// Stops a process that has never accepted requests.
     #[must_use]
     pub fn abandon(self) -> Lifecycle<Stopped> {
         self.transition(Phase::Stopped)
@@ -82,7 +82,7 @@
 }
 
 impl Lifecycle<Serving> {
-    /// Stops taking new work.
+    /// Starts the graceful shutdown.
     #[must_use]
     pub fn drain(self) -> Lifecycle<Draining> {
         self.transition(Phase::Draining)
@@ -90,7 +90,7 @@
 }
 
 impl Lifecycle<Draining> {
-    /// Ends the life once no work is left.
+    /// Completes the shutdown.
     #[must_use]
     pub fn stop(self) -> Lifecycle<Stopped> {
         self.transition(Phase::Stopped)
--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -1,4 +1,4 @@
-//! The table in which services find each other by name.
+//! The service table, in which services are registered by name.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -7,9 +7,9 @@
 
 use displaydoc::Display;
 
-/// A part of the process that others find by its name.
+/// A component of the process that other components look up by name.
 pub trait Service: 'static {
-    /// The name under which it is found.
+    /// The name under which the service is registered.
     const NAME: &'static str;
 }
 
@@ -19,14 +19,14 @@
 
 impl std::error::Error for Missing {}
 
-/// Every service of the process, by name.
+/// The services of the process by name.
 #[derive(Default)]
 pub struct Table {
     services: RefCell<BTreeMap<&'static str, Rc<dyn Any>>>,
 }
 
 impl Table {
-    /// Installs a service, in place of an earlier one of the same name.
+    /// Installs a service and replaces an earlier one of the same name.
     pub fn install<S: Service>(&self, service: S) -> Rc<S> {
         let service = Rc::new(service);
         let entry: Rc<dyn Any> = Rc::clone(&service) as Rc<dyn Any>;
@@ -34,7 +34,7 @@
         service
     }
 
-    /// Returns the service of this type, found under its name.
+    /// Looks up a service by the name of its type.
     pub fn find<S: Service>(&self) -> Result<Rc<S>, Missing> {
         let services = self.services.borrow();
         let entry = services.get(S::NAME).ok_or(Missing(S::NAME))?;
