--- a/crates/log/src/bounded.rs
+++ b/crates/log/src/bounded.rs
@@ -1,4 +1,4 @@
-//! An appender that never waits for who reads the log.
+//! A log appender that never blocks: it drops lines if the reader of the log is too slow.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -8,47 +8,47 @@
 use logforth::record::Record;
 use logforth::{Append, Diagnostic, Error};
 
-/// The most lines that wait to be written, some 300 bytes each. A reader that stands still holds
-/// up the thread that writes, nothing else.
-const MOST_WAITING: usize = 1000;
+/// The most lines that wait to be written, some 300 bytes each. A reader that stops reading only
+/// blocks the writing thread.
+const MAX_PENDING_LINES: usize = 1000;
 
-/// Lines that were given up since this was last asked.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+/// The number of lines dropped since the last call of [`take_dropped_count`].
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many lines were given up since the last call.
-pub(crate) fn take_left_out() -> u64 {
-    // A plain read first: it is asked for with each line.
-    if LEFT_OUT.load(Ordering::Relaxed) == 0 {
+/// Returns how many lines were dropped since the last call.
+pub(crate) fn take_dropped_count() -> u64 {
+    // This is called for each line, and a load is cheaper than a swap.
+    if DROPPED.load(Ordering::Relaxed) == 0 {
         return 0;
     }
-    LEFT_OUT.swap(0, Ordering::Relaxed)
+    DROPPED.swap(0, Ordering::Relaxed)
 }
 
-/// Hands lines to a thread of its own, and gives up those for which there is no room.
+/// An appender that passes lines to a writer thread and drops those beyond a limit.
 #[derive(Debug)]
 pub(crate) struct Bounded {
     thread: Async,
-    waiting: Arc<AtomicUsize>,
+    pending: Arc<AtomicUsize>,
 }
 
 impl Bounded {
     /// Returns an appender that writes through `inner` on another thread.
     pub(crate) fn new(inner: impl Into<Box<dyn Append>>) -> Self {
-        let waiting = Arc::<AtomicUsize>::default();
+        let pending = Arc::<AtomicUsize>::default();
         let counted = Counted {
             inner: inner.into(),
-            waiting: Arc::clone(&waiting),
+            pending: Arc::clone(&pending),
         };
         let thread = AsyncBuilder::new("log").append(counted).build();
-        Self { thread, waiting }
+        Self { thread, pending }
     }
 }
 
 impl Append for Bounded {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if self.waiting.fetch_add(1, Ordering::Relaxed) >= MOST_WAITING {
-            self.waiting.fetch_sub(1, Ordering::Relaxed);
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        if self.pending.fetch_add(1, Ordering::Relaxed) >= MAX_PENDING_LINES {
+            self.pending.fetch_sub(1, Ordering::Relaxed);
+            DROPPED.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         self.thread.append(record, diags)
@@ -59,17 +59,17 @@
     }
 }
 
-/// Writes lines and counts that they no longer wait.
+/// The writer thread's side: writes lines and updates the number of pending lines.
 #[derive(Debug)]
 struct Counted {
     inner: Box<dyn Append>,
-    waiting: Arc<AtomicUsize>,
+    pending: Arc<AtomicUsize>,
 }
 
 impl Append for Counted {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let result = self.inner.append(record, diags);
-        self.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.pending.fetch_sub(1, Ordering::Relaxed);
         result
     }
 
--- a/crates/log/src/catalogue.rs
+++ b/crates/log/src/catalogue.rs
@@ -1,17 +1,17 @@
-//! Every log event that sailtrack can write.
+//! The catalogue of all log events.
 
 use log::Level;
 
-/// One kind of log event.
+/// A type of log event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
-    /// The number that never changes its meaning.
+    /// The number that identifies the event; its meaning never changes.
     pub number: u32,
-    /// How grave it is.
+    /// The severity of the event.
     pub level: Level,
-    /// The text of the log line.
+    /// The message of the log line.
     pub text: &'static str,
-    /// The names of the fields that go with it.
+    /// The names of the fields of the event.
     pub fields: &'static [&'static str],
 }
 
@@ -27,138 +27,138 @@
             };
         )*
 
-        /// Every event, in the order of the numbers.
+        /// All events, ordered by number.
         pub const ALL: &[Entry] = &[$($name),*];
     };
 }
 
 catalogue! {
-    /// A process opened its ports.
+    /// A process has opened its ports.
     PROCESS_STARTED = 100 Info "process started" ["process", "address"];
-    /// SIGTERM arrived and the process takes no new work.
+    /// The process received SIGTERM and starts its graceful shutdown.
     STOP_REQUESTED = 101 Info "stop requested" ["in_flight"];
-    /// All work is finished and the process ends.
+    /// The graceful shutdown is complete and the process exits.
     PROCESS_STOPPED = 102 Info "process stopped" ["process"];
-    /// A second SIGTERM arrived while work was in flight; the process goes on finishing it.
+    /// The process received another SIGTERM during the graceful shutdown, which it continues.
     STOP_REPEATED = 103 Warn "stop requested again; still finishing work in flight" ["in_flight"];
-    /// SIGHUP arrived; the settings file is read again.
+    /// The process received SIGHUP and reads the settings file again.
     RELOAD_REQUESTED = 104 Info "reload requested" [];
-    /// The instance was suspended for so long; what was known before is looked at anew.
+    /// The instance was suspended for `time_ms` milliseconds; the state of other nodes is checked again.
     INSTANCE_SUSPENDED = 105 Warn "instance was suspended" ["time_ms"];
-    /// A changed settings file was read; some keys take effect at the next start only.
+    /// A changed settings file was read. The keys in `in_force` have taken effect, those in `next_start` will at the next start.
     SETTINGS_CHANGED = 106 Info "settings changed" ["in_force", "next_start"];
-    /// The settings file cannot be read or holds mistakes; the settings in force stay.
+    /// The settings file cannot be read or contains errors; the settings in force stay.
     SETTINGS_REFUSED = 107 Error "settings refused" ["reason"];
-    /// A task panicked; only its connection ended.
+    /// A task panicked; other tasks and connections are not affected.
     TASK_PANICKED = 110 Error "a task panicked and was ended" ["task"];
     /// A connection was closed because of what it sent.
     INPUT_REFUSED = 120 Warn "input refused" ["port", "reason"];
-    /// An answer ended a connection, and what ran behind it was stopped.
+    /// An answer closed a connection, and the pipelined requests after it were cancelled.
     REQUESTS_NOT_READ = 121 Info "requests not read" ["count"];
-    /// The node took a configuration into force.
+    /// The node applied a configuration.
     CONFIG_IN_FORCE = 200 Info "configuration in force" ["version", "source"];
-    /// A configuration that could not be read was ignored.
+    /// A configuration that could not be parsed was ignored.
     CONFIG_REFUSED = 201 Error "configuration refused" ["version", "reason"];
     /// An operator's change was accepted.
     CONFIG_ACCEPTED = 202 Info "configuration accepted" ["version", "operator", "command"];
-    /// An operator's change lost against another one.
+    /// An operator's change was rejected because of a concurrent change.
     CONFIG_CONFLICT = 203 Warn "configuration conflict" ["version", "operator", "winner"];
     /// The platform does not answer.
     PLATFORM_LOST = 300 Warn "the platform does not answer" ["reason"];
     /// The platform answers again.
     PLATFORM_FOUND = 301 Info "the platform answers again" [];
-    /// An operation on the store failed and is tried again, or other nodes stand in for it.
+    /// An operation on the store failed. It is retried, or other nodes provide the data instead.
     STORE_FAILED = 302 Warn "operation on the store failed" ["operation", "reason"];
-    /// A row of the store that could not be read was ignored.
+    /// A row of the store that could not be parsed was ignored.
     ROW_REFUSED = 303 Error "rows refused" ["table", "key", "reason", "rows"];
-    /// The row of a node that is gone for good was removed.
+    /// The row of a node that is permanently gone was removed.
     ROW_REMOVED = 304 Info "row removed" ["node"];
-    /// The store came back from a copy.
+    /// The store was restored from a backup.
     STORE_COPIED = 305 Warn "the store came back from a copy" ["era"];
-    /// A row that the copy lacked was written again.
+    /// A row that was missing from the restored backup was written again.
     ROW_RESTORED = 306 Info "row written again" ["table", "key"];
-    /// A node was seen for the first time, or again.
+    /// A node joined or rejoined.
     MEMBER_JOINED = 400 Info "member joined" ["node", "service", "domain"];
-    /// A node does not answer and is suspected.
+    /// A node does not answer and is suspected to be dead.
     MEMBER_SUSPECTED = 401 Warn "member suspected" ["node"];
-    /// A suspected node did not answer in time and is held for dead.
+    /// A suspected node did not answer in time and is considered dead.
     MEMBER_DEAD = 402 Warn "member dead" ["node"];
-    /// A node announced that it is leaving.
+    /// A node announced that it is shutting down.
     MEMBER_LEAVING = 403 Info "member leaving" ["node"];
-    /// The own upstream announced itself.
+    /// The own upstream registered with this node.
     UPSTREAM_ANNOUNCED = 410 Info "upstream announced" ["upstream", "service", "slots"];
-    /// The own upstream is leaving or stopped announcing itself.
+    /// The own upstream deregistered or stopped sending heartbeats.
     UPSTREAM_GONE = 411 Warn "upstream gone" ["reason"];
-    /// A life of the own upstream gets no new requests any more.
+    /// An incarnation of the own upstream no longer gets new requests.
     UPSTREAM_RETIRED = 412 Info "upstream retired" ["upstream", "reason"];
-    /// The own upstream did not say who it is; its next beat will.
+    /// The own upstream could not be identified by a probe; its next heartbeat will identify it.
     UPSTREAM_SILENT = 413 Info "upstream does not say who it is" ["address", "reason"];
-    /// What the own upstream says about its load can't be read, or not all of it; once for each life.
+    /// The load reported by the own upstream could not be parsed, or not completely. Logged once for each incarnation.
     LOAD_UNREADABLE = 414 Warn "load of the upstream not readable" ["upstream", "value"];
-    /// The own upstream works on so many requests that an earlier process of this node sent; their room is kept until they are over.
+    /// The own upstream is still running `requests` requests sent by an earlier process of this node; their slots stay reserved until they end.
     REQUESTS_LEFT_BEHIND = 415 Info "requests left behind" ["requests"];
-    /// The room of requests that were dropped here came back, though their ends were not heard of. `because` is `load` if the upstream told how many requests it has, `told`, while so many others waited for their answers, `open`; or `time` if they are taken to be over.
+    /// The slots of abandoned requests were released, although the ends of the requests were not observed. `because` is `load` if the upstream reported that it runs `told` requests while `open` others were waiting for answers, or `time` if the requests are assumed to have ended.
     ROOM_FREED = 416 Debug "room of dropped requests came back" ["requests", "because", "told", "open"];
-    /// The own upstream ended without having announced it. `ran` names the requests that it ran by the first digits of their identities, with their kinds; `requests` is how many there were.
+    /// The own upstream crashed, that is, ended without deregistering. `ran` lists the requests in flight by the first digits of their identities, with their kinds; `requests` is their number.
     UPSTREAM_CRASHED = 420 Warn "upstream crashed" ["upstream", "requests", "ran"];
-    /// A request ran when several upstreams crashed and is sent to none any more. `upstream` is the life that ended last, `time_s` how long that holds in seconds. Each node that hears of the crash writes it.
+    /// A request was in flight when several upstreams crashed and is quarantined: it is no longer sent to any upstream. `upstream` is the incarnation that crashed last, `time_s` the duration of the quarantine in seconds. Each node that learns of the crash logs this.
     REQUEST_QUARANTINED = 421 Warn "request quarantined" ["identity", "upstream", "time_s"];
-    /// An attempt of a request in quarantine was refused.
+    /// An attempt of a quarantined request was refused.
     REQUEST_HELD_BACK = 422 Info "request held back" ["request", "identity"];
-    /// Nothing is held against a request any more that was on trial or in quarantine.
+    /// A request is no longer quarantined or on trial.
     QUARANTINE_ENDED = 423 Info "quarantine ended" ["identity", "reason"];
-    /// So many nodes could not be told of a crash or a verdict, since their connections were full. They hear of a verdict when they connect again.
+    /// A crash or a change of the quarantine could not be sent to `nodes` nodes, since the queues of their connections were full. They learn of a quarantine when they reconnect.
     NODES_NOT_TOLD = 424 Warn "nodes not told" ["nodes"];
-    /// The port of the own upstream was tried after the answer to a request was lost. `finding` is `refused` if nothing listens there, `accepted`, `neither in time` or `not tried`; `took_ms` is how long that took in milliseconds. A port that does not refuse is watched, and a second event tells what it showed at the end of that.
+    /// The port of the own upstream was probed after the answer to a request was lost. `finding` is `refused` if nothing listens on the port, `accepted`, `neither in time` or `not tried`; `took_ms` is the duration of the probe in milliseconds. A port that does not refuse connections is watched for a while, and a second event reports the final result.
     UPSTREAM_LOOKED_AT = 425 Info "upstream looked at" ["request", "finding", "took_ms"];
-    /// Another node told that the upstream beside it crashed. `requests` is how many of the requests that it ran are named.
+    /// Another node reported that its upstream crashed. `requests` is the number of requests in flight that the report names.
     CRASH_TOLD = 426 Info "crash told" ["upstream", "requests"];
-    /// A request was not let in, since it has no key of a workspace, more than one, or one that no workspace has in this version.
+    /// A request was refused, since it has no key, more than one key, or a key that belongs to no workspace in this version of the configuration.
     KEY_REFUSED = 430 Info "key refused" ["request", "kind", "reason", "version"];
-    /// What is known of the configuration is too old for requests with keys, which are refused from now on. The age is -1 if it is not known.
+    /// The configuration may be outdated, so requests with keys are refused from now on. The age is -1 if it is unknown.
     KEYS_OUTDATED = 431 Warn "keys outdated" ["age_ms"];
-    /// Requests with keys are let in again.
+    /// Requests with keys are accepted again.
     KEYS_CURRENT = 432 Info "keys current" ["age_ms"];
-    /// A workspace asks more than it may; the event is written every 5 s at most.
+    /// A workspace exceeds its quota; logged every 5 s at most.
     WORKSPACE_OVER_LIMIT = 440 Info "workspace over its limit" ["workspace", "rate", "version"];
-    /// This node keeps the tokens of its failure domain from now on.
+    /// This node became the token allocator of its failure domain.
     QUOTA_ALLOCATOR_BEGAN = 441 Info "keeps the tokens of its failure domain" ["term"];
-    /// This node no longer keeps them.
+    /// This node is no longer the token allocator of its failure domain.
     QUOTA_ALLOCATOR_ENDED = 442 Info "keeps no tokens any more" ["term"];
-    /// The limit of the own upstream changed by a quarter or more.
+    /// The concurrency limit of the own upstream changed by a quarter or more.
     LIMIT_CHANGED = 500 Info "concurrency limit changed" ["limit", "reason"];
     /// Requests are being shed.
     SHEDDING_STARTED = 501 Warn "shedding started" ["level"];
-    /// No requests are shed any more.
+    /// Requests are no longer being shed.
     SHEDDING_ENDED = 502 Info "shedding ended" [];
-    /// A non-idempotent request may or may not have run.
+    /// It is unknown whether a non-idempotent request ran.
     OUTCOME_UNKNOWN = 600 Warn "outcome unknown" ["request", "kind", "reason"];
     /// An operator settled an unknown outcome.
     OUTCOME_SETTLED = 601 Info "outcome settled" ["request", "verdict", "operator"];
-    /// What is known about finished tickets was handed over to another node at a planned stop.
+    /// The records of finished tickets were handed over to another node during a graceful shutdown.
     TICKETS_HANDED_OVER = 602 Info "tickets handed over" ["node", "tickets", "taken"];
     /// A peer connection was opened.
     PEER_CONNECTED = 700 Debug "peer connected" ["node"];
     /// A peer connection was lost.
     PEER_LOST = 701 Info "peer connection lost" ["node", "reason"];
-    /// A request was refused and has not run. `bound` is what held it back at the gate: its queue, the window of its kind, or a path on which a service has no upstream; `calls` counts what ran and waited there; the rest is known at the entry only.
+    /// A request was refused and has not run. `bound` is the limit that it exceeded at the gate: the queue, the window of its kind, or the circuit breaker of a path on which a service has no upstream. `calls` is the number of requests running or waiting there. The remaining fields are only set at the entry.
     REQUEST_REFUSED = 800 Info "request refused" ["request", "kind", "at", "reason", "bound", "calls", "node", "tries", "pressure", "workspace", "version", "after_ms"];
-    /// A request is sent to another upstream. `node` is the one that it did not end at.
+    /// A request is retried on another upstream. `node` is the node of the failed attempt.
     REQUEST_REPEATED = 801 Info "request sent once more" ["request", "node", "outcome", "reason"];
-    /// A request ends without an answer of an upstream. `node` had it last, `pressure` is how full its path was in percent.
+    /// A request failed without an answer from an upstream. `node` is the node of the last attempt, `pressure` the highest pressure on its path in percent.
     REQUEST_FAILED = 802 Warn "request failed" ["request", "kind", "status", "reason", "node", "tries", "pressure", "workspace", "version", "after_ms"];
-    /// The answer of the own upstream to a request was lost or cannot be passed on.
+    /// The own upstream's answer to a request was lost or cannot be passed on.
     ANSWER_LOST = 803 Warn "answer lost" ["request", "reason"];
-    /// Whether a request ran in the own upstream is not known.
+    /// It is unknown whether a request ran in the own upstream.
     OUTCOME_NOT_KNOWN = 804 Info "outcome of a request not known" ["request", "kind", "reason"];
-    /// An upstream answered with a failure of its own. `below` says that a call made for the request failed.
+    /// An upstream answered with an error. `below` tells whether a nested call made for the request failed.
     REQUEST_ANSWERED_BADLY = 805 Info "request answered with a failure" ["request", "kind", "status", "below", "node", "tries", "pressure", "workspace", "version", "after_ms"];
-    /// The own upstream did not answer a request in `waited_ms`, and no answer is expected any more. All but few of its kind take less than `usual_ms`; `overtaken` of its kind were sent later and have been answered.
+    /// The own upstream did not answer a request within `waited_ms` milliseconds, and the node stops waiting. Nearly all requests of its kind take less than `usual_ms`; `overtaken` requests of its kind were sent later and have been answered.
     ANSWER_MISSING = 806 Info "no answer expected any more" ["request", "kind", "waited_ms", "usual_ms", "overtaken"];
-    /// Events about requests were left out because there were too many, in the last `span_ms`. Those of `kept` percent of the requests are whole.
+    /// Some events about requests were left out in the last `span_ms` milliseconds, because there were too many. The events of `kept` percent of the requests are complete.
     EVENTS_LEFT_OUT = 810 Info "events left out" ["count", "about", "kept", "span_ms"];
-    /// Lines were left out because who reads the log is too slow.
+    /// Lines were dropped because the reader of the log is too slow.
     LINES_LEFT_OUT = 811 Warn "lines left out" ["count"];
-    /// Requests that this node sent to another one, or to its own upstream, failed several times in a row; for `for_ms` it gets none while there are others, then one at a time.
+    /// Several requests in a row that this node sent to another node, or to its own upstream, failed. For `for_ms` milliseconds that node gets no requests while there are alternatives, and then one at a time.
     NODE_LEFT_OUT = 820 Info "node left out" ["node", "for_ms"];
 }
--- a/crates/log/src/output.rs
+++ b/crates/log/src/output.rs
@@ -8,33 +8,33 @@
 use logforth::append;
 use logforth::layout::JsonLayout;
 
-use crate::bounded::{Bounded, take_left_out};
+use crate::bounded::{Bounded, take_dropped_count};
 use crate::catalogue::{self, Entry};
 
-/// A named value that goes with an event.
+/// A field of an event: its name and its value.
 pub type Field<'a> = (&'a str, &'a dyn Display);
 
-/// The target that every event carries.
+/// The target of all log records.
 const TARGET: &str = "sailtrack";
-/// How long the end of a process waits for its last lines; a reader that stands still must not
-/// keep it.
-const FINISH_TIME: Duration = Duration::from_millis(200);
+/// How long a process that exits waits until its last lines are written; limited, since the reader
+/// of the log may have stopped reading.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Where the log of a process goes.
+/// The output to which a process writes its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Destination {
-    /// To standard error, as for a tool whose output is something else.
+    /// Standard error, for tools whose standard output holds their results.
     Stderr,
-    /// To standard output, where those who run the process collect logs.
+    /// Standard output, from which service managers collect logs.
     Stdout,
 }
 
-/// Sends all events of at least `level` to standard error, one JSON object a line.
+/// Logs events of at least `level` to standard error, one JSON object per line.
 pub fn install(level: LevelFilter) {
     install_to(Destination::Stderr, level);
 }
 
-/// Sends all events of at least `level` to `destination`, one JSON object a line.
+/// Logs events of at least `level` to `destination`, one JSON object per line.
 pub fn install_to(destination: Destination, level: LevelFilter) {
     let layout = JsonLayout::default();
     let builder = logforth::starter_log::builder().dispatch(|dispatch| match destination {
@@ -47,7 +47,7 @@
     set_level(level);
 }
 
-/// Writes events of at least `level` from now on; errors are always written.
+/// Sets the least severe level that is logged; errors are always logged.
 pub fn set_level(level: LevelFilter) {
     log::set_max_level(level.clamp(LevelFilter::Error, LevelFilter::Debug));
 }
@@ -58,22 +58,22 @@
         return;
     }
     write(entry, fields);
-    let left_out = take_left_out();
-    if left_out > 0 {
-        write(&catalogue::LINES_LEFT_OUT, &[("count", &left_out)]);
+    let dropped = take_dropped_count();
+    if dropped > 0 {
+        write(&catalogue::LINES_LEFT_OUT, &[("count", &dropped)]);
     }
 }
 
-/// Waits a moment until the lines of a process that ends are written.
+/// Waits, for a limited time, until all pending lines are written. Call it before the process exits.
 pub fn finish() {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
         log::logger().flush();
-        // Who waits may have given up.
+        // The receiver is gone if the wait timed out.
         let _ = sender.send(());
     });
-    // Without an end the reader stands still, and there is nobody to tell.
-    let _ = receiver.recv_timeout(FINISH_TIME);
+    // A timeout means that nobody reads the log, so it cannot be reported there.
+    let _ = receiver.recv_timeout(FLUSH_TIMEOUT);
 }
 
 fn write(entry: &Entry, fields: &[Field<'_>]) {
--- a/crates/log/tests/event_catalogue.rs
+++ b/crates/log/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in the documentation agrees with the code.
+//! Checks that the documented catalogue of events agrees with the code.
 
 use sailtrack_log::catalogue::ALL;
 
