--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -34,7 +34,7 @@
         service
     }
 
-    /// Looks up a service by the name of its type.
+    /// Looks up the service of type `S` by its registered name.
     pub fn find<S: Service>(&self) -> Result<Rc<S>, Missing> {
         let services = self.services.borrow();
         let entry = services.get(S::NAME).ok_or(Missing(S::NAME))?;
--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -79,7 +79,7 @@
     pub(crate) service: ServiceName,
     /// Its response time, as a multiple of that of the other upstreams of its service.
     pub(crate) slowness: f64,
-    /// How long work takes on its instance at present, as a multiple of the usual time.
+    /// How long work currently takes on its instance, as a multiple of the usual time.
     pub(crate) pace: f64,
 }
 
@@ -202,14 +202,14 @@
         self.counters.unanswered.inc();
     }
 
-    /// Records a pipeline_depth request; `depth` is the number of unanswered requests of its connection,
+    /// Records a pipelined request; `depth` is the number of unanswered requests of its connection,
     /// including this one.
     pub(crate) fn record_pipelined(&self, depth: usize) {
         self.pipeline_depth
             .observe(f64::from(u32::try_from(depth).unwrap_or(u32::MAX)));
     }
 
-    /// Counts pipeline_depth requests that were cancelled because an earlier answer closed their
+    /// Counts pipelined requests that were cancelled because an earlier answer closed their
     /// connection.
     pub(crate) fn record_unread(&self, count: usize) {
         self.counters.unread.inc_by(count as u64);
--- a/crates/mesh/src/metrics/gauges.rs
+++ b/crates/mesh/src/metrics/gauges.rs
@@ -38,7 +38,7 @@
     /// The term of this node as the allocator of its failure domain's tokens; zero if it is not
     /// the allocator.
     pub(crate) quota_term: u64,
-    /// How long work takes on the own instance at present, in percent of the usual time; zero if
+    /// How long work currently takes on the own instance, in percent of the usual time; zero if
     /// not reported.
     pub(crate) pace_percent: u32,
 }
--- a/crates/mesh/src/node/stop.rs
+++ b/crates/mesh/src/node/stop.rs
@@ -31,7 +31,7 @@
 /// How long before the end of the shutdown time the drain ends in any case.
 const RESERVE: Duration = Duration::from_millis(300);
 
-/// Waits for a shutdown signal; the other signal requests a reload of the settings.
+/// Waits for the shutdown signal, and requests a reload of the settings at each reload signal.
 pub(super) async fn wait_for_shutdown(signals: &mut Signals, reload: &Reload) -> Result<(), Error> {
     loop {
         let signal = signals.next().await.map_err(Error::Signal)?;
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -27,9 +27,9 @@
 /// How long a node is unreachable before it is removed for good; longer than a reboot takes.
 const DEFAULT_FORGET_AFTER: Period = Period::from_millis(300_000);
 
-/// The window in which workspace limits are measured, and the share of a limit by which a workspace
-/// may exceed it, if not set.
+/// The default window in which workspace limits are measured.
 const DEFAULT_QUOTA_WINDOW: Period = Period::from_millis(5_000);
+/// The default share of its limit by which a workspace may exceed it: none.
 const DEFAULT_QUOTA_OVERAGE: Ratio = Ratio(0.0);
 
 /// The addresses on which the node listens.
