--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,10 +1,10 @@
-//! The micro-kernel: a table of services that find each other by name, and the
-//! life cycle of the process that holds them, with why it fails.
+//! The basis of every sailtrack process: a table in which services find each
+//! other by name, the lifecycle of the process, and the errors that end it.
 
 mod error;
-mod life;
+mod lifecycle;
 mod table;
 
 pub use error::Error;
-pub use life::{Draining, Joining, Life, Phase, Serving, Stopped};
+pub use lifecycle::{Draining, Joining, Lifecycle, Phase, Serving, Stopped};
 pub use table::{Missing, Service, Table};
--- a/crates/mesh/src/dispatch.rs
+++ b/crates/mesh/src/dispatch.rs
@@ -27,7 +27,7 @@
 use crate::retry::Budget;
 use crate::retry_after;
 use crate::routing::{Routing, Target};
-use crate::wake::Wake;
+use crate::suspension;
 
 /// The most times a request that could not be sent to its target is redirected to another one.
 const MAX_REDIRECTS: u32 = 2;
@@ -44,7 +44,7 @@
     pub(crate) gate: Rc<Gate>,
     pub(crate) budget: Rc<Budget>,
     pub(crate) quarantine: Rc<Quarantine>,
-    pub(crate) wake: Rc<Wake>,
+    pub(crate) suspension: Rc<suspension::Detector>,
     pub(crate) directory: Rc<Directory>,
     pub(crate) events: Rc<Events>,
     pub(crate) metrics: Rc<Metrics>,
@@ -114,7 +114,7 @@
     ) -> Response {
         let mut attempts = Attempts::default();
         let mut last = None;
-        self.wake.news().await;
+        self.suspension.catch_up().await;
         self.budget.record_request(&request, clock::now());
         loop {
             // A quarantine may have been reported while the previous attempt ran.
@@ -134,9 +134,9 @@
                 return final_response(attempts.executed, Some(more_informative(last, response)));
             }
             let name = target.name(&self.routing.name);
-            self.events.note_retry(&request.attempt, name, &response);
+            self.events.log_retry(&request.attempt, name, &response);
             if response.was_sent {
-                self.metrics.note_repeat(&request.service);
+                self.metrics.record_retry(&request.service);
             }
             attempts.nodes.push(name.clone());
             request.is_retry |= response.was_sent;
--- a/crates/mesh/src/entry/exchange.rs
+++ b/crates/mesh/src/entry/exchange.rs
@@ -11,7 +11,7 @@
 use sailtrack_units::Moment;
 use sailtrack_wire::{Outcome, Reason};
 
-use crate::clock::{self, LAST_LOOK, Late};
+use crate::clock::{self, Elapsed, READ_GRACE};
 use crate::dispatch::Trail;
 use crate::entry::CredentialError;
 use crate::entry::Entry;
@@ -134,7 +134,7 @@
     if clock::now().since(deadline) < STALL_THRESHOLD {
         return Response::unknown(Reason::Deadline);
     }
-    let response = timeout(LAST_LOOK, dispatch).await;
+    let response = timeout(READ_GRACE, dispatch).await;
     response.unwrap_or_else(|_| Response::unknown(Reason::Deadline))
 }
 
@@ -155,9 +155,9 @@
     }
     // Boxed, since every enclosing future would otherwise reserve space for it again.
     let mut dispatch = Box::pin(entry.dispatcher.dispatch(request, &incoming.route, trail));
-    let response = match clock::until(incoming.deadline, &mut dispatch).await {
+    let response = match clock::timeout_at(incoming.deadline, &mut dispatch).await {
         Ok(response) => response,
-        Err(Late) => poll_after_deadline(incoming.deadline, dispatch).await,
+        Err(Elapsed) => poll_after_deadline(incoming.deadline, dispatch).await,
     };
     if let Some(parent) = &incoming.parent {
         parent.record_result(&response);
--- a/crates/mesh/src/entry/receiver.rs
+++ b/crates/mesh/src/entry/receiver.rs
@@ -183,7 +183,7 @@
         self.pipeline.push(exchange, !is_idempotent);
         let depth = self.pipeline.len();
         if depth > 1 {
-            self.entry.metrics.note_pipelined(depth);
+            self.entry.metrics.record_pipelined(depth);
         }
     }
 
@@ -272,7 +272,7 @@
         let mut hasher = incoming.hasher(&self.entry.service);
         let on_piece = |piece: &[u8]| hasher.update(piece);
         let body = self.reader.body_seen(incoming.framing, limit, on_piece);
-        match clock::until(incoming.deadline, body).await {
+        match clock::timeout_at(incoming.deadline, body).await {
             Ok(Ok(body)) => Ok(Payload {
                 body,
                 identity: hasher.finish(),
@@ -288,7 +288,7 @@
 /// Waits until the client closes its connection; input that arrives meanwhile stays buffered.
 async fn wait_for_disconnect(reader: &mut Reader) {
     while reader.buffered() < MAX_READ_AHEAD {
-        if !matches!(reader.fill().await, Ok(count) if count > 0) {
+        if !matches!(reader.fill().await, Ok(count)if count>0) {
             return;
         }
     }
--- a/crates/mesh/src/entry/sender.rs
+++ b/crates/mesh/src/entry/sender.rs
@@ -21,7 +21,7 @@
 use crate::entry::pipeline::Pipeline;
 use crate::entry::request::Incoming;
 use crate::entry::response::{Options, Output, Refusal, render, render_refusal};
-use crate::events::End;
+use crate::events;
 use crate::request::Response;
 
 /// How long a write to the client may take.
@@ -79,7 +79,7 @@
         self.log(&incoming, &response, &trail);
         let time = incoming.received_at.elapsed();
         let kind = &incoming.route.name;
-        self.entry.metrics.note_answer(kind, &response, time);
+        self.entry.metrics.record_answer(kind, &response, time);
         let was_refused = response.outcome == Outcome::NotRun;
         let was_answered = response.outcome == Outcome::Done;
         let options = Options {
@@ -156,8 +156,8 @@
         let (attempt, kind) = (&incoming.attempt, &incoming.route.name);
         let version = self.entry.current.version();
         let events = &self.entry.events;
-        events.note_key_refused(attempt, kind, error, version);
-        self.entry.metrics.note_key_refused();
+        events.log_credential_error(attempt, kind, error, version);
+        self.entry.metrics.record_credential_error();
         self.refuse(Refusal::Unauthorized, None).await
     }
 
@@ -182,7 +182,7 @@
     fn record_unread(&self) {
         let count = self.pipeline.len();
         if self.pipeline.is_closed() && count > 0 {
-            self.entry.metrics.note_unread(count);
+            self.entry.metrics.record_unread(count);
             emit(&catalogue::REQUESTS_NOT_READ, &[("count", &count)]);
         }
     }
@@ -198,31 +198,31 @@
 
     fn log(&self, incoming: &Incoming, response: &Response, trail: &Trail) {
         let refusal = Refusal::of(response);
-        let end = End {
+        let end = events::Completion {
             attempt: &incoming.attempt,
             kind: &incoming.route.name,
             status: refusal.map_or(response.status, Refusal::status),
             trail,
             reason: response.reason,
             pressure: response.observed_pressure(),
-            failed_below: response.failed_below,
+            callee_failed: response.failed_below,
             workspace: incoming.workspace().map(|workspace| &workspace.name),
             version: self.entry.current.version(),
-            after: incoming.received_at.elapsed(),
-            calls: self.entry.in_flight.get(),
+            elapsed: incoming.received_at.elapsed(),
+            in_flight: self.entry.in_flight.get(),
         };
         let events = &self.entry.events;
         match refusal {
             None if response.is_success() => {}
-            None => events.note_bad_answer(&end),
-            Some(Refusal::NotRun | Refusal::OverQuota) => events.note_refused_end(&end),
+            None => events.log_error_response(&end),
+            Some(Refusal::NotRun | Refusal::OverQuota) => events.log_entry_refusal(&end),
             Some(Refusal::Quarantined) => {
-                events.note_refused_end(&end);
+                events.log_entry_refusal(&end);
                 if let Some(identity) = trail.identity() {
-                    events.note_held_back(end.attempt, &identity);
+                    events.log_quarantine_refusal(end.attempt, &identity);
                 }
             }
-            Some(_) => events.note_failure(&end),
+            Some(_) => events.log_failure(&end),
         }
     }
 
--- a/crates/mesh/src/gate/loss.rs
+++ b/crates/mesh/src/gate/loss.rs
@@ -47,7 +47,7 @@
     async fn is_port_closed(&self, attempt: &AttemptKey) -> bool {
         let began = Instant::now();
         let finding = self.detector.probe_port().await;
-        self.events.note_look(attempt, finding, began.elapsed());
+        self.events.log_probe(attempt, finding, began.elapsed());
         finding == Finding::Refused
     }
 
@@ -87,7 +87,7 @@
             let suspected = || gate.detector.suspected(clock::now());
             let finding = port::watch(gate.detector.target(), || suspected().is_some()).await;
             drop(guard);
-            gate.events.note_look(&attempt, finding, began.elapsed());
+            gate.events.log_probe(&attempt, finding, began.elapsed());
             // The suspected incarnation may be a later one than that which started the watch.
             if let Some(upstream) = suspected().filter(|_| finding == Finding::Refused) {
                 gate.handle_crash(&upstream);
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -40,12 +40,12 @@
 use crate::clock;
 use crate::contexts::Contexts;
 use crate::dialect::Dialect;
-use crate::events::{Bound, Events};
+use crate::events::{Events, Limiter};
 use crate::key::{AttemptKey, UpstreamKey};
 use crate::metrics::{Metrics, Stage};
 use crate::quarantine::Quarantine;
 use crate::request::{Request, Response};
-use crate::wake::Wake;
+use crate::suspension;
 use admitted::Admitted;
 pub(crate) use builder::Builder;
 use crash::Detector;
@@ -81,7 +81,7 @@
     pool: Pool,
     detector: Detector,
     quarantine: Rc<Quarantine>,
-    wake: Rc<Wake>,
+    suspension: Rc<suspension::Detector>,
     /// Held by the one request on trial that may run at a time, since it might crash the upstream.
     trials: Lock,
     in_flight: Rc<Cell<usize>>,
@@ -111,10 +111,11 @@
         response.body.hold(in_flight_guard);
         let pressure = self.admission.pressure(Instant::now(), class);
         if response.outcome == Outcome::Unknown {
-            self.events.note_unknown(&attempt, &kind, response.reason);
+            self.events
+                .log_unknown_outcome(&attempt, &kind, response.reason);
         }
         self.metrics
-            .note_end(Stage::Gate, &kind, response.outcome, response.reason);
+            .record_completion(Stage::Gate, &kind, response.outcome, response.reason);
         Response {
             pressure,
             pace: self.upstream.report.pace(clock::now()),
@@ -128,7 +129,7 @@
         if self.upstream.is_closed() {
             return self.refuse(&request, Reason::Draining);
         }
-        self.wake.news().await;
+        self.suspension.catch_up().await;
         // The sending node may not have received the evidence that this node has.
         if self.quarantine.standing(&request.identity).is_quarantined() {
             return self.refuse(&request, Reason::Quarantined);
@@ -174,7 +175,7 @@
                 request.time_left(),
             )
             .await;
-        let permit = permit.map_err(|reason| self.refuse_at(request, reason, Bound::Queue))?;
+        let permit = permit.map_err(|reason| self.refuse_at(request, reason, Limiter::Queue))?;
         let Some(upstream) = self.ready_upstream(request, Instant::now()) else {
             return Err(self.refuse(request, Reason::Draining));
         };
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -38,7 +38,7 @@
         let exchange = until_ended(exchange, admitted.ended.clone());
         let sent = self.track(request, admitted);
         let result = self
-            .wait_for(&sent, &guard.context, clock::until(until, exchange))
+            .wait_for(&sent, &guard.context, clock::timeout_at(until, exchange))
             .await;
         sent.record_end(&result, admitted);
         let response = match result {
@@ -96,7 +96,7 @@
         if NOT_RUN_STATUSES.contains(&head.status) {
             let reason =
                 "a status that implies that the request did not run, not confirmed by the upstream";
-            self.events.note_loss(&request.attempt, &reason);
+            self.events.log_lost_answer(&request.attempt, &reason);
             return Response::unknown(Reason::Connection);
         }
         Response::answered(head.status, forwarded_head(&head), body)
@@ -108,7 +108,7 @@
         upstream: &UpstreamKey,
         error: &ExchangeError,
     ) -> Response {
-        self.events.note_loss(&request.attempt, error);
+        self.events.log_lost_answer(&request.attempt, error);
         if matches!(error, ExchangeError::Late) {
             return Response::refused(Reason::Deadline);
         }
--- a/crates/mesh/src/gate/slots.rs
+++ b/crates/mesh/src/gate/slots.rs
@@ -21,7 +21,7 @@
 use sailtrack_net::task;
 use sailtrack_units::{Moment, Rank};
 
-use crate::clock::{self, LAST_LOOK};
+use crate::clock::{self, READ_GRACE};
 
 /// A request that was sent this long before a response came is assumed to have been read by the
 /// upstream when it wrote that response: many times the latency of the local connection.
@@ -72,7 +72,7 @@
             let slots = Rc::clone(&self);
             task::spawn("retained slot", async move {
                 // This only ends by its deadline.
-                let _ = clock::until(until, std::future::pending::<()>()).await;
+                let _ = clock::timeout_at(until, std::future::pending::<()>()).await;
                 if slots.release(sequence) {
                     log_released(1, "time", 0, slots.in_flight.borrow().len());
                 }
@@ -111,7 +111,7 @@
         }
         let (slots, sequence) = (Rc::clone(self), answered.sequence.get());
         task::spawn("slot reconciliation", async move {
-            sleep(LAST_LOOK).await;
+            sleep(READ_GRACE).await;
             slots.reconcile(reported, sequence, received);
         });
     }
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -14,7 +14,7 @@
 use super::exchange::{ExchangeError, UpstreamResponse};
 use super::kinds::{InFlight, Kind};
 use super::timeout::{Decision, Pending};
-use crate::clock::{self, LAST_LOOK, Late};
+use crate::clock::{self, Elapsed, READ_GRACE};
 use crate::contexts::Context;
 use crate::events::Silence;
 use crate::key::AttemptKey;
@@ -27,7 +27,7 @@
 const REPLY_MARGIN: Duration = Duration::from_millis(25);
 
 /// The result of an exchange, or `Late` after the deadline.
-type Exchanged = Result<Result<UpstreamResponse, ExchangeError>, Late>;
+type Exchanged = Result<Result<UpstreamResponse, ExchangeError>, Elapsed>;
 
 /// How the wait for a response ended.
 pub(super) enum Waited {
@@ -62,7 +62,7 @@
             // An upstream stops work at the deadline that it was given.
             Waited::Finished(_) => admitted.slot.finish(),
         }
-        if matches!(end, Waited::GivenUp | Waited::Finished(Err(Late))) {
+        if matches!(end, Waited::GivenUp | Waited::Finished(Err(Elapsed))) {
             self.kind.record_outcome(true, Instant::now());
         }
     }
@@ -136,7 +136,7 @@
                 }
                 Decision::GiveUp if !is_recheck => {
                     is_recheck = true;
-                    sleep(LAST_LOOK).await;
+                    sleep(READ_GRACE).await;
                 }
                 Decision::GiveUp => {
                     self.report_abandoned(sent, &pending);
@@ -169,12 +169,12 @@
         if !pending.is_overtaken() {
             sent.in_flight.record_abandoned(Instant::now());
         }
-        self.metrics.note_unanswered();
-        self.events.note_silence(&Silence {
+        self.metrics.record_unanswered();
+        self.events.log_missing_answer(&Silence {
             attempt: sent.attempt,
             kind: sent.name,
             waited: pending.waited,
-            usual: pending
+            expected: pending
                 .latency
                 .map_or(Duration::ZERO, |latency| latency.p99),
             overtaken: pending.overtaken,
@@ -190,10 +190,12 @@
     is_given_up: &Cell<bool>,
     mut receiver: oneshot::Receiver<Response>,
 ) -> Result<Response, oneshot::Canceled> {
-    let result = clock::until(deadline.before(REPLY_MARGIN), &mut receiver).await;
+    let result = clock::timeout_at(deadline.before(REPLY_MARGIN), &mut receiver).await;
     match result {
         Ok(response) => response,
-        Err(Late) if is_given_up.get() => Ok(Response::unknown(sailtrack_wire::Reason::Deadline)),
-        Err(Late) => receiver.await,
+        Err(Elapsed) if is_given_up.get() => {
+            Ok(Response::unknown(sailtrack_wire::Reason::Deadline))
+        }
+        Err(Elapsed) => receiver.await,
     }
 }
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts the services of a mesh node together and leads it through its life.
+//! Assembles the services of a mesh node and runs it from start to shutdown.
 
 mod start;
 mod stop;
@@ -11,7 +11,7 @@
 
 use monoio::time::sleep;
 use sailtrack_admission::{Config, Policy};
-use sailtrack_kernel::{Error, Joining, Life, Table};
+use sailtrack_kernel::{Error, Joining, Lifecycle, Table};
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::terminate::{Signal, Signals};
 use sailtrack_units::Period;
@@ -22,13 +22,13 @@
 use crate::settings::Settings;
 use crate::store::Store;
 
-/// How often waiting for a condition looks at it.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a condition that the node waits for is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Who may enter an upstream. A request waits no longer than one of middle length runs; beyond
-/// that another upstream serves it sooner. A call of a request in progress waits longer: refusing
-/// it loses the calls that were made before it.
-pub(crate) const ADMISSION_RULES: Config = Config {
+/// Admission to the own upstream. A root request is queued no longer than a medium request takes;
+/// beyond that another upstream would serve it sooner. A nested call is queued longer, since
+/// refusing it wastes the calls already made for its root request.
+pub(crate) const ADMISSION_CONFIG: Config = Config {
     policy: Policy::Adaptive,
     fixed_limit: 100,
     queue_time: Period::from_millis(100),
@@ -36,21 +36,21 @@
     warm_up: Period::from_millis(2000),
 };
 
-/// What a mesh node meets in the place where it runs.
-pub struct Surroundings {
-    /// The names and formats there.
+/// The platform on which a mesh node runs.
+pub struct Environment {
+    /// The platform's names and formats.
     pub dialect: Rc<dyn Dialect>,
-    /// The store there.
+    /// The platform's store.
     pub store: Rc<dyn Store>,
 }
 
-/// Runs a node from its start to its planned stop.
-pub(crate) async fn run(settings: Settings, surroundings: Surroundings) -> Result<(), Error> {
+/// Runs a node from start to graceful shutdown.
+pub(crate) async fn run(settings: Settings, environment: Environment) -> Result<(), Error> {
     let mut signals = Signals::install().map_err(Error::Signal)?;
-    let life = Life::<Joining>::default();
+    let lifecycle = Lifecycle::<Joining>::default();
     let in_flight = Rc::new(Cell::new(0));
     let table = Rc::new(Table::default());
-    start::start(&table, &settings, &surroundings, &life, &in_flight)?;
+    start::start(&table, &settings, &environment, &lifecycle, &in_flight)?;
     let name = settings.identity.name.to_string();
     emit(
         &catalogue::PROCESS_STARTED,
@@ -60,29 +60,29 @@
     let reload = table.find::<Reload>()?;
     let configured = async {
         while current.get().is_none() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
     let is_configured = monoio::select! {
         () = configured => true,
-        result = stop::wait_for_stop(&mut signals, &reload) => {
+        result = stop::wait_for_shutdown(&mut signals, &reload) => {
             result?;
             false
         }
     };
     if is_configured {
-        let life = life.serve();
+        let lifecycle = lifecycle.serve();
         start::publish(&table)?;
-        stop::wait_for_stop(&mut signals, &reload).await?;
-        stop::drain(&table, life.drain(), &in_flight).await?;
+        stop::wait_for_shutdown(&mut signals, &reload).await?;
+        stop::drain(&table, lifecycle.drain(), &in_flight).await?;
     } else {
-        let _stopped = life.abandon();
+        let _stopped = lifecycle.abandon();
     }
     emit(&catalogue::PROCESS_STOPPED, &[("process", &name)]);
     Ok(())
 }
 
-/// Returns true for the signal that asks for an end.
-fn is_stop(signal: Signal) -> bool {
+/// Returns true for the signal that requests a shutdown.
+fn is_shutdown(signal: Signal) -> bool {
     signal == Signal::Terminate
 }
--- a/crates/mesh/src/node/start.rs
+++ b/crates/mesh/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Makes the services of a mesh node, installs them in the table and starts their tasks.
+//! Creates the services of a mesh node, installs them in the service table and starts their tasks.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -9,7 +9,7 @@
 use futures::channel::mpsc;
 use monoio::net::TcpListener;
 use sailtrack_admission::{Admission, Windows};
-use sailtrack_kernel::{Error, Joining, Life, Missing, Table};
+use sailtrack_kernel::{Error, Joining, Lifecycle, Missing, Table};
 use sailtrack_net::http::{Limits, Port, serve};
 use sailtrack_net::task;
 
@@ -25,26 +25,26 @@
 use crate::gossip::Handler;
 use crate::incarnation;
 use crate::metrics::Metrics;
-use crate::node::{ADMISSION_RULES, Surroundings, store, tasks};
+use crate::node::{ADMISSION_CONFIG, Environment, store, tasks};
 use crate::peer::{Acceptor, Delegate, Peers};
 use crate::quarantine::Quarantine;
 use crate::quota::{Node as QuotaNode, Quotas};
-use crate::ready::ReadyPort;
+use crate::ready;
 use crate::reload::Reload;
 use crate::retired::Retired;
 use crate::retry::Budget;
 use crate::routing::{Routing, Statistics};
-use crate::scrape::MetricsPort;
+use crate::scrape;
 use crate::settings::Settings;
 use crate::status::Status;
 use crate::store::{Clock, Reachability};
-use crate::wake::Wake;
+use crate::suspension;
 use crate::watch::Watch;
 
-/// How many nodes with a newer configuration wait to be asked.
-const PROVIDERS: usize = 16;
+/// The most nodes with a newer configuration that are queued for a fetch.
+const MAX_PROVIDERS: usize = 16;
 
-/// The sockets of a node, all open before anything is started.
+/// The sockets of a node, all of which are opened before any service starts.
 struct Sockets {
     entry: TcpListener,
     peer: TcpListener,
@@ -53,30 +53,30 @@
     metrics: Option<Port>,
 }
 
-/// Starts all services of a node.
+/// Installs and starts all services of a node.
 pub(super) fn start(
     table: &Rc<Table>,
     settings: &Settings,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let sockets = open(settings)?;
-    let (wanted, wishes) = mpsc::channel(1);
-    install_state(table, settings, surroundings, life, wanted)?;
+    let (token_requests, token_request_receiver) = mpsc::channel(1);
+    install_state(table, settings, environment, lifecycle, token_requests)?;
     let providers = install_network(table, settings)?;
-    install_path(table, settings, surroundings, in_flight)?;
-    install_intake(table, settings, surroundings, life, in_flight)?;
-    tasks::listen(table, settings)?;
-    tasks::follow_settings(table)?;
-    tasks::keep_quotas(table, surroundings, wishes)?;
-    tasks::ramp_up_together(table)?;
-    store::follow_store(table, settings, surroundings)?;
-    tasks::meet_peers(table, providers)?;
-    start_ports(table, surroundings, life, sockets)
+    install_forwarding(table, settings, environment, in_flight)?;
+    install_receivers(table, settings, environment, lifecycle, in_flight)?;
+    tasks::connect_services(table, settings)?;
+    tasks::watch_settings(table)?;
+    tasks::start_quotas(table, environment, token_request_receiver)?;
+    tasks::ramp_up_after_mass_start(table)?;
+    store::start(table, settings, environment)?;
+    tasks::start_peer_tasks(table, providers)?;
+    start_ports(table, environment, lifecycle, sockets)
 }
 
-/// Tells other nodes at once what this one is like.
+/// Publishes the status of this node to other nodes immediately.
 pub(super) fn publish(table: &Table) -> Result<(), Missing> {
     table.find::<Status>()?.publish();
     Ok(())
@@ -89,13 +89,13 @@
         entry: listen("entry", ports.entry)?,
         peer: listen("peer", ports.peer)?,
         ready: Port::open("ready", ports.ready, Limits::server())
-            .map_err(|error| failed("ready", ports.ready, error))?,
+            .map_err(|error| port_error("ready", ports.ready, error))?,
         announcements: announcements
-            .map_err(|error| failed("announcements", ports.announcements, error))?,
+            .map_err(|error| port_error("announcements", ports.announcements, error))?,
         metrics: match ports.metrics {
             Some(address) => Some(
                 Port::open("metrics", address, Limits::server())
-                    .map_err(|error| failed("metrics", address, error))?,
+                    .map_err(|error| port_error("metrics", address, error))?,
             ),
             None => None,
         },
@@ -103,10 +103,10 @@
 }
 
 fn listen(port: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
-    TcpListener::bind(address).map_err(|error| failed(port, address, error))
+    TcpListener::bind(address).map_err(|error| port_error(port, address, error))
 }
 
-fn failed(port: &'static str, address: SocketAddr, error: io::Error) -> Error {
+fn port_error(port: &'static str, address: SocketAddr, error: io::Error) -> Error {
     Error::Port {
         port,
         address,
@@ -117,9 +117,9 @@
 fn install_state(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
-    wanted: mpsc::Sender<()>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
+    token_requests: mpsc::Sender<()>,
 ) -> Result<(), Error> {
     let identity = &settings.identity;
     table.install(Reload::new(settings.clone()));
@@ -132,8 +132,8 @@
     table.install(Windows::default());
     table.install(Splitter::default());
     table.install(Budget::new(settings.retry));
-    table.install(Admission::new(ADMISSION_RULES, Instant::now()));
-    table.install(Current::new(Rc::clone(&surroundings.dialect)));
+    table.install(Admission::new(ADMISSION_CONFIG, Instant::now()));
+    table.install(Current::new(Rc::clone(&environment.dialect)));
     table.install(Upstream::new(table.find()?, table.find()?));
     table.install(Directory::new(Member {
         name: identity.name.clone(),
@@ -147,26 +147,26 @@
         table.find()?,
         settings.revoke_time.map(|time| time.0),
     ));
-    let life_number = incarnation::generate();
+    let incarnation = incarnation::generate();
     table.install(Quotas::new(
         QuotaNode {
             name: identity.name.clone(),
-            incarnation: life_number,
+            incarnation,
             domain: identity.domain.clone(),
         },
         settings.quota,
         (table.find()?, table.find()?, table.find()?),
-        wanted,
+        token_requests,
     ));
     table.install(Status {
-        life: life_number,
-        phase: life.watch(),
+        incarnation,
+        phase: lifecycle.phase(),
         directory: table.find()?,
         upstream: table.find()?,
         admission: table.find()?,
         current: table.find()?,
         retired: table.find()?,
-        reach: table.find()?,
+        reachability: table.find()?,
         freshness: table.find()?,
         clock: table.find()?,
         quota_term: Cell::new(0),
@@ -177,8 +177,8 @@
 }
 
 fn install_network(table: &Table, settings: &Settings) -> Result<mpsc::Receiver<Provider>, Error> {
-    let (providers, receiver) = mpsc::channel(PROVIDERS);
-    let listener: Rc<dyn Delegate> = Rc::new(Handler {
+    let (providers, receiver) = mpsc::channel(MAX_PROVIDERS);
+    let delegate: Rc<dyn Delegate> = Rc::new(Handler {
         directory: table.find()?,
         current: table.find()?,
         retired: table.find()?,
@@ -189,9 +189,9 @@
         providers: RefCell::new(providers),
     });
     let domain = settings.identity.domain.clone();
-    let peers = Peers::new(settings.ports.peer.ip(), domain, listener);
+    let peers = Peers::new(settings.ports.peer.ip(), domain, delegate);
     let peers = table.install(peers);
-    table.install(Wake::new(Rc::clone(&peers)));
+    table.install(suspension::Detector::new(Rc::clone(&peers)));
     let identity = &settings.identity;
     table.install(Watch::new(
         &identity.name,
@@ -204,15 +204,15 @@
     Ok(receiver)
 }
 
-/// Installs what brings a request to an upstream.
-fn install_path(
+/// Installs the services that forward requests to upstreams.
+fn install_forwarding(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
+    environment: &Environment,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let identity = &settings.identity;
-    let dialect = &surroundings.dialect;
+    let dialect = &environment.dialect;
     let gate = GateBuilder::new(
         identity.service.clone(),
         settings.upstream,
@@ -242,7 +242,7 @@
         gate: table.find()?,
         budget: table.find()?,
         quarantine: table.find()?,
-        wake: table.find()?,
+        suspension: table.find()?,
         directory: table.find()?,
         events: table.find()?,
         metrics: table.find()?,
@@ -250,19 +250,20 @@
     Ok(())
 }
 
-/// Installs what takes in requests, the messages of other nodes and those of the own upstream.
-fn install_intake(
+/// Installs the services that receive requests, messages of other nodes, and announcements of the
+/// own upstream.
+fn install_receivers(
     table: &Table,
     settings: &Settings,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let identity = &settings.identity;
-    let dialect = &surroundings.dialect;
+    let dialect = &environment.dialect;
     table.install(Entry {
         dialect: Rc::clone(dialect),
-        phase: life.watch(),
+        phase: lifecycle.phase(),
         service: identity.service.clone(),
         current: table.find()?,
         splitter: table.find()?,
@@ -275,7 +276,7 @@
         in_flight: Rc::clone(in_flight),
         memory: Memory::new(settings.body_memory()),
         pending_response_bytes: Rc::default(),
-        max_pending_response_bytes: Cell::new(settings.ready_memory()),
+        max_pending_response_bytes: Cell::new(settings.pending_response_memory()),
         is_closed: Cell::new(false),
         connections: Rc::default(),
     });
@@ -291,7 +292,7 @@
     });
     table.install(Announcements {
         dialect: Rc::clone(dialect),
-        store: Rc::clone(&surroundings.store),
+        store: Rc::clone(&environment.store),
         upstream: table.find()?,
         retired: table.find()?,
         clock: table.find()?,
@@ -309,18 +310,18 @@
 
 fn start_ports(
     table: &Table,
-    surroundings: &Surroundings,
-    life: &Life<Joining>,
+    environment: &Environment,
+    lifecycle: &Lifecycle<Joining>,
     sockets: Sockets,
 ) -> Result<(), Error> {
-    let ready = Rc::new(ReadyPort {
-        dialect: Rc::clone(&surroundings.dialect),
-        phase: life.watch(),
+    let ready = Rc::new(ready::Endpoint {
+        dialect: Rc::clone(&environment.dialect),
+        phase: lifecycle.phase(),
         current: table.find()?,
     });
     let announcements = Rc::new(Endpoint(table.find()?));
     if let Some(port) = sockets.metrics {
-        let metrics = Rc::new(MetricsPort {
+        let metrics = Rc::new(scrape::Endpoint {
             metrics: table.find()?,
             contexts: table.find()?,
             admission: table.find()?,
--- a/crates/mesh/src/peer/accept.rs
+++ b/crates/mesh/src/peer/accept.rs
@@ -102,8 +102,8 @@
             Err(_) => return reject(&"timeout waiting for hello"),
         };
         self.add_peer(&peer_hello);
-        let introduction = Body::Presence(self.status.introduction());
-        let greeting = [hello(self.status.member()), introduction];
+        let introduction = Body::Presence(self.status.initial_presence());
+        let greeting = [hello(self.status.local_member()), introduction];
         let greeting = greeting.into_iter().chain(self.quarantine.snapshot());
         for message in greeting {
             if outgoing.send(message).await.is_err() {
@@ -263,7 +263,7 @@
         let acceptor = Rc::clone(self);
         let exchange = recall.exchange;
         let response = async move {
-            if Incarnation(recall.incarnation) != acceptor.status.life {
+            if Incarnation(recall.incarnation) != acceptor.status.incarnation {
                 return Response::unknown(Reason::HomeGone);
             }
             let attempt = AttemptKey::from(recall.id.as_str());
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -61,8 +61,8 @@
 
     /// Records a crash of the local upstream and broadcasts the evidence to all other nodes.
     pub(crate) fn record_crash(&self, upstream: &UpstreamKey, in_flight: &[Rc<Context>]) {
-        self.events.note_crash(upstream, in_flight);
-        self.metrics.note_crash();
+        self.events.log_crash(upstream, in_flight);
+        self.metrics.record_crash();
         let now = clock::now();
         let ledger = self.ledger.borrow();
         let in_flight = in_flight.iter().map(|context| Execution {
@@ -75,7 +75,7 @@
         let is_complete = in_flight.len() <= MAX_REPORTED;
         in_flight.truncate(MAX_REPORTED);
         self.apply_crash(&upstream.to_string(), &in_flight, is_complete);
-        self.status.tell(&Body::Evidence(wire::encode_crash(
+        self.status.broadcast(&Body::Evidence(wire::encode_crash(
             upstream,
             &in_flight,
             is_complete,
@@ -86,7 +86,7 @@
     /// had sent there: that node has failed as well and can't report the crash.
     pub(crate) fn record_remote_crash(&self, upstream: &UpstreamKey, in_flight: &[Execution]) {
         self.apply_crash(&upstream.to_string(), in_flight, false);
-        self.status.tell(&Body::Evidence(wire::encode_crash(
+        self.status.broadcast(&Body::Evidence(wire::encode_crash(
             upstream, in_flight, false,
         )));
     }
@@ -98,9 +98,9 @@
             .borrow_mut()
             .record_success(identity, clock::now());
         if before.is_restricted() {
-            self.events.note_cleared(identity, &"it succeeded");
+            self.events.log_cleared(identity, &"it succeeded");
             self.status
-                .tell(&Body::Evidence(wire::encode_cleared(identity)));
+                .broadcast(&Body::Evidence(wire::encode_cleared(identity)));
         }
     }
 
@@ -113,9 +113,9 @@
     /// Clears a request on an operator's command; returns true if there was evidence against it.
     pub(crate) fn lift(&self, identity: &Identity) -> bool {
         let had_evidence = self.ledger.borrow_mut().clear(identity, clock::now());
-        self.events.note_cleared(identity, &"lifted by an operator");
+        self.events.log_cleared(identity, &"lifted by an operator");
         self.status
-            .tell(&Body::Evidence(wire::encode_cleared(identity)));
+            .broadcast(&Body::Evidence(wire::encode_cleared(identity)));
         had_evidence
     }
 
@@ -125,14 +125,14 @@
         let (crash, cleared, verdicts) = wire::decode(evidence);
         if let Some(crash) = crash {
             self.events
-                .note_evidence(&crash.incarnation, crash.in_flight.len());
+                .log_remote_crash(&crash.incarnation, crash.in_flight.len());
             self.apply_crash(&crash.incarnation, &crash.in_flight, crash.is_complete);
         }
         let mut ledger = self.ledger.borrow_mut();
         for identity in &cleared {
             if ledger.clear(identity, now) {
                 self.events
-                    .note_cleared(identity, &"cleared by another node");
+                    .log_cleared(identity, &"cleared by another node");
             }
         }
         for record in &verdicts {
@@ -176,7 +176,7 @@
                         ("time_s", &remaining.as_secs()),
                     ],
                 );
-                self.metrics.note_verdict();
+                self.metrics.record_quarantine();
             }
         }
     }
--- a/crates/mesh/src/quota/mod.rs
+++ b/crates/mesh/src/quota/mod.rs
@@ -252,7 +252,7 @@
     }
 
     fn record_exhausted(&self, workspace: &WorkspaceName) {
-        self.metrics.note_over_quota();
+        self.metrics.record_over_quota();
         let now = clock::now();
         let mut last_logged = self.last_logged.borrow_mut();
         let last = last_logged.get(workspace).copied();
--- a/crates/mesh/src/routing/mod.rs
+++ b/crates/mesh/src/routing/mod.rs
@@ -90,7 +90,7 @@
         };
         let (locality, index) = choose(&candidates, &estimate, &mut rand::rng())?;
         if locality == Locality::OtherDomain && candidates.same_domain > 0 {
-            self.metrics.note_left_domain(&request.service);
+            self.metrics.record_other_domain(&request.service);
         }
         let link = link(&group, locality, index);
         Some(link.map_or(Target::Local, |link| Target::Remote(Rc::clone(link))))
