--- a/crates/mesh/src/ready.rs
+++ b/crates/mesh/src/ready.rs
@@ -20,7 +20,7 @@
 impl Handler for Endpoint {
     async fn handle(&self, request: Request) -> Response {
         if !self.dialect.is_readiness_probe(&request) {
-            return Response::text(StatusCode::NOT_FOUND, "not found\n");
+            return Response::text(StatusCode::NOT_FOUND, "nothing here\n");
         }
         let is_ready = self.phase.get() == Phase::Serving && self.current.get().is_some();
         if is_ready {
--- a/crates/mesh/src/scrape.rs
+++ b/crates/mesh/src/scrape.rs
@@ -28,7 +28,7 @@
 /// identity.
 const QUARANTINE: &str = "/quarantine";
 /// The answer for any other path.
-const USAGE: &str = "metrics are at /metrics, requests on trial or in quarantine at \
+const USAGE: &str = "the counters are at /metrics, requests on trial or in quarantine at \
     /quarantine; DELETE /quarantine/IDENTITY clears one on all nodes\n";
 
 /// Answers scrapes and requests about the quarantine.
@@ -126,14 +126,10 @@
         let identity = path.strip_prefix(QUARANTINE).unwrap_or_default();
         let identity = identity.trim_start_matches('/').parse::<Identity>();
         match identity {
-            Ok(identity) if self.quarantine.lift(&identity) => Response::text(
-                StatusCode::OK,
-                "the request is no longer quarantined or on trial\n",
-            ),
-            Ok(_) => Response::text(
-                StatusCode::NOT_FOUND,
-                "no such request quarantined or on trial\n",
-            ),
+            Ok(identity) if self.quarantine.lift(&identity) => {
+                Response::text(StatusCode::OK, "nothing is held against it any more\n")
+            }
+            Ok(_) => Response::text(StatusCode::NOT_FOUND, "nothing is held against it here\n"),
             Err(error) => Response::text(StatusCode::BAD_REQUEST, format!("{error}\n")),
         }
     }
