--- a/crates/node/src/entrance.rs
+++ b/crates/node/src/accountant.rs
@@ -33,7 +33,7 @@
 }
 
 /// Where requests of clients come in.
-pub(crate) struct Entrance {
+pub(crate) struct Accountant {
     dispatcher: Rc<Dispatcher>,
     routing: Rc<Routing>,
     peers: Rc<Peers>,
@@ -41,11 +41,11 @@
     by_age: RefCell<VecDeque<(Instant, RequestId)>>,
 }
 
-impl Service for Entrance {
+impl Service for Accountant {
     const NAME: &'static str = "entrance";
 }
 
-impl Entrance {
+impl Accountant {
     pub(crate) fn new(dispatcher: Rc<Dispatcher>, routing: Rc<Routing>, peers: Rc<Peers>) -> Self {
         Self {
             dispatcher,
@@ -58,8 +58,8 @@
 
     /// Brings a client's request, whose id it chose itself, to its answer.
     pub(crate) async fn request(&self, call: Call) -> Answer {
-        let accountant = self.routing.accountant(&call.service, call.request);
-        let Some(Target::Remote(peer)) = accountant else {
+        let accounting_node = self.routing.accounting_node(&call.service, call.request);
+        let Some(Target::Remote(peer)) = accounting_node else {
             return self.account(call).await;
         };
         let answer = self.peers.call_entry(&peer, &call).await;
--- a/crates/node/src/configuration/accept.rs
+++ b/crates/node/src/configuration/accept.rs
@@ -12,7 +12,7 @@
 use sailtrack_units::{ConfigVersion, OperatorName, Timestamp};
 
 use crate::configuration::{CONFIG_KEY, Change, Configuration, Content, Source};
-use crate::platform::{Expect, Platform, PlatformError, Row, Written};
+use crate::platform::{Platform, PlatformError, Precondition, Row, Written};
 
 /// The most changes kept in the history.
 const HISTORY: usize = 64;
@@ -23,7 +23,7 @@
 
 /// A change that an operator asks for.
 #[derive(Debug, Clone)]
-pub(crate) struct Decision {
+pub(crate) struct Proposal {
     pub(crate) command: String,
     pub(crate) operator: OperatorName,
     /// The version that the operator based the change on.
@@ -57,12 +57,12 @@
 
 impl Acceptor {
     /// Tries to get a change accepted and says what became of it.
-    pub(crate) async fn accept(&self, decision: Decision) -> Acceptance {
+    pub(crate) async fn accept(&self, decision: Proposal) -> Acceptance {
         let base = decision.base;
         let text = self.content_with(&decision);
         let expect = match base.0 {
-            0 => Expect::Absent,
-            version => Expect::Version(version),
+            0 => Precondition::Absent,
+            version => Precondition::Version(version),
         };
         match self.platform.write(CONFIG_KEY, expect, text).await {
             Ok(Written::Done(row)) => self.accepted(&decision, &row),
@@ -112,8 +112,8 @@
             },
         );
         let expect = match version {
-            0 => Expect::Absent,
-            version => Expect::Version(version),
+            0 => Precondition::Absent,
+            version => Precondition::Version(version),
         };
         // Whether it took effect is seen by the next reading.
         let _ = self
@@ -122,7 +122,7 @@
             .await;
     }
 
-    fn content_with(&self, decision: &Decision) -> String {
+    fn content_with(&self, decision: &Proposal) -> String {
         let mut content = self.configuration.current().content.clone();
         content.declaration = decision.declaration.to_string();
         push(
@@ -138,7 +138,7 @@
         encode(&content)
     }
 
-    fn accepted(&self, decision: &Decision, row: &Row) -> Acceptance {
+    fn accepted(&self, decision: &Proposal, row: &Row) -> Acceptance {
         let version = ConfigVersion(row.version);
         emit(
             &catalogue::CONFIG_ACCEPTED,
--- a/crates/node/src/configuration/spread.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -18,7 +18,7 @@
 const FIRST_POLL: Duration = Duration::from_millis(200);
 
 /// Brings newer versions to this node and tells others about them.
-pub(crate) struct Spreader {
+pub(crate) struct Fetcher {
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) platform: Rc<Platform>,
     pub(crate) peers: Rc<Peers>,
@@ -26,7 +26,7 @@
     pub(crate) poll: Duration,
 }
 
-impl Spreader {
+impl Fetcher {
     /// Reads the platform's version now and then, for as long as the task lives.
     pub(crate) async fn poll(self: Rc<Self>) {
         loop {
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -2,7 +2,7 @@
 
 mod accept;
 mod change;
-mod spread;
+mod fetch;
 #[cfg(test)]
 mod tests;
 
@@ -18,9 +18,9 @@
 use sailtrack_units::ConfigVersion;
 use serde::{Deserialize, Serialize};
 
-pub(crate) use accept::{Acceptance, Acceptor, Decision};
+pub(crate) use accept::{Acceptance, Acceptor, Proposal};
 pub(crate) use change::Change;
-pub(crate) use spread::Spreader;
+pub(crate) use fetch::Fetcher;
 
 use crate::membership::Peer;
 
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -36,7 +36,7 @@
     pub(crate) level: Cell<Rank>,
     /// The greatest pressure that a call made for it met.
     pub(crate) pressure: Cell<Pressure>,
-    outside: RefCell<Outside>,
+    outside: RefCell<SubcallTime>,
     calls_made: Cell<u32>,
     /// The calls made that failed; the same call made again is a retry.
     failed: RefCell<HashSet<SubcallKey>>,
@@ -46,7 +46,7 @@
 
 /// The time during which at least one call made for the execution was open.
 #[derive(Debug, Default)]
-struct Outside {
+struct SubcallTime {
     open: u32,
     since: Option<Instant>,
     total: Duration,
@@ -54,13 +54,13 @@
 
 impl Context {
     /// Notes that a call is made; the time until the guard is dropped is not the upstream's own.
-    pub(crate) fn step_outside(self: &Rc<Self>) -> OutsideGuard {
+    pub(crate) fn step_outside(self: &Rc<Self>) -> SubcallGuard {
         let mut outside = self.outside.borrow_mut();
         if outside.open == 0 {
             outside.since = Some(Instant::now());
         }
         outside.open += 1;
-        OutsideGuard(Rc::clone(self))
+        SubcallGuard(Rc::clone(self))
     }
 
     /// Returns the time spent in calls made for the execution.
@@ -97,9 +97,9 @@
 }
 
 /// Marks an open call made for an execution.
-pub(crate) struct OutsideGuard(Rc<Context>);
+pub(crate) struct SubcallGuard(Rc<Context>);
 
-impl Drop for OutsideGuard {
+impl Drop for SubcallGuard {
     fn drop(&mut self) {
         let mut outside = self.0.outside.borrow_mut();
         outside.open -= 1;
@@ -124,7 +124,7 @@
 
 impl Contexts {
     /// Remembers an execution until the guard is dropped.
-    pub(crate) fn open(self: &Rc<Self>, call: &Call) -> Entry {
+    pub(crate) fn open(self: &Rc<Self>, call: &Call) -> Registration {
         let context = Rc::new(Context {
             request: call.request,
             root_kind: call.root_kind.clone(),
@@ -141,7 +141,7 @@
         });
         let token = rand::rng().random();
         self.open.borrow_mut().insert(token, Rc::clone(&context));
-        Entry {
+        Registration {
             contexts: Rc::clone(self),
             token,
             context,
@@ -156,20 +156,20 @@
 }
 
 /// An open execution, forgotten when it is dropped.
-pub(crate) struct Entry {
+pub(crate) struct Registration {
     contexts: Rc<Contexts>,
     token: u64,
     pub(crate) context: Rc<Context>,
 }
 
-impl Entry {
+impl Registration {
     /// Returns the token as it stands in the header.
     pub(crate) fn token(&self) -> String {
         format!("{:016x}", self.token)
     }
 }
 
-impl Drop for Entry {
+impl Drop for Registration {
     fn drop(&mut self) {
         self.contexts.open.borrow_mut().remove(&self.token);
     }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -16,7 +16,7 @@
 use crate::membership::Membership;
 use crate::metrics::Metrics;
 use crate::peer::Peers;
-use crate::retry::{Budget, Ratios};
+use crate::retry::{Budget, Limiter};
 use crate::routing::{NoTarget, Routing, Target};
 use crate::ticket::Tickets;
 use crate::unknown::Unknowns;
@@ -40,7 +40,7 @@
     pub(crate) routing: Rc<Routing>,
     pub(crate) peers: Rc<Peers>,
     pub(crate) executor: Rc<Executor>,
-    pub(crate) ratios: Rc<Ratios>,
+    pub(crate) retry_limiter: Rc<Limiter>,
     pub(crate) tickets: Rc<Tickets>,
     pub(crate) unknowns: Rc<Unknowns>,
     pub(crate) metrics: Rc<Metrics>,
@@ -52,25 +52,25 @@
 }
 
 /// What to do after an answer that is not a success.
-enum Next {
+enum Action {
     /// It is final.
     Stop,
     /// It did not run; try elsewhere without using up the allowance.
-    Elsewhere,
+    Redirect,
     /// It may have run; try again and use up the allowance.
-    Again,
+    Retry,
 }
 
 /// The answers to the earlier attempts of a call.
 ///
 /// Once an attempt may have run, no later refusal can say that the call did not.
 #[derive(Default)]
-struct Last {
+struct Attempts {
     ran: Option<Answer>,
     refused: Option<Answer>,
 }
 
-impl Last {
+impl Attempts {
     fn note(&mut self, answer: Answer) {
         if may_have_run(&answer) {
             self.ran = Some(answer);
@@ -116,7 +116,7 @@
     async fn repeatable(&self, call: &Call, budget: &Budget) -> Answer {
         let mut tried: Vec<NodeName> = Vec::new();
         let mut redirects = 0;
-        let mut last = Last::default();
+        let mut last = Attempts::default();
         loop {
             let target = match self.routing.choose(call, &tried) {
                 Ok(target) => target,
@@ -124,41 +124,47 @@
             };
             let answer = self.attempt(call, &target, budget).await;
             if answer.is_success() {
-                self.ratios.note_success(&call.service);
+                self.retry_limiter.note_success(&call.service);
                 return answer;
             }
             match self.after_failure(call, &answer, budget, redirects) {
-                Next::Stop => return last.or_answer(answer),
-                Next::Elsewhere => {
+                Action::Stop => return last.or_answer(answer),
+                Action::Redirect => {
                     redirects += 1;
                     tried.push(self.name_of(&target));
                 }
-                Next::Again => {}
+                Action::Retry => {}
             }
             last.note(answer);
         }
     }
 
-    fn after_failure(&self, call: &Call, answer: &Answer, budget: &Budget, redirects: u32) -> Next {
+    fn after_failure(
+        &self,
+        call: &Call,
+        answer: &Answer,
+        budget: &Budget,
+        redirects: u32,
+    ) -> Action {
         if call.time_left().is_zero() {
-            return Next::Stop;
+            return Action::Stop;
         }
         if !may_have_run(answer) {
             let bounded = redirects < MAX_REDIRECTS;
-            let free = !is_overload(answer.reason) || self.ratios.take(&call.service);
+            let free = !is_overload(answer.reason) || self.retry_limiter.take(&call.service);
             return if bounded && free {
-                Next::Elsewhere
+                Action::Redirect
             } else {
-                Next::Stop
+                Action::Stop
             };
         }
         let overloaded_below = answer.level > call.rank;
         let may_repeat = call.repeat == Repeat::Retry && !overloaded_below;
-        if may_repeat && self.ratios.take(&call.service) && budget.spend() {
+        if may_repeat && self.retry_limiter.take(&call.service) && budget.spend() {
             self.metrics.note_retry();
-            return Next::Again;
+            return Action::Retry;
         }
-        Next::Stop
+        Action::Stop
     }
 
     /// Brings a non-idempotent call that this node makes tickets for itself.
@@ -179,10 +185,10 @@
             };
             let answer = self.at_home(&ticketed, &ticket, budget, true).await;
             let retry = !may_have_run(&answer)
-                && (!is_overload(answer.reason) || self.ratios.take(&call.service));
+                && (!is_overload(answer.reason) || self.retry_limiter.take(&call.service));
             if !retry {
                 if answer.is_success() {
-                    self.ratios.note_success(&call.service);
+                    self.retry_limiter.note_success(&call.service);
                 }
                 return answer;
             }
@@ -304,7 +310,7 @@
     async fn fixed(&self, call: &Call, budget: &Budget) -> Answer {
         let mut last = None;
         for attempt in 0..=FIXED_RETRIES {
-            if attempt > 0 && !self.ratios.take(&call.service) {
+            if attempt > 0 && !self.retry_limiter.take(&call.service) {
                 break;
             }
             let target = match self.routing.choose(call, &[]) {
@@ -313,7 +319,7 @@
             };
             let answer = self.attempt(call, &target, budget).await;
             if answer.is_success() {
-                self.ratios.note_success(&call.service);
+                self.retry_limiter.note_success(&call.service);
                 return answer;
             }
             let may_repeat = call.repeat == Repeat::Retry || !may_have_run(&answer);
--- a/crates/node/src/execute.rs
+++ b/crates/node/src/execute.rs
@@ -15,11 +15,11 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use crate::call::{Answer, Call};
-use crate::context::{Contexts, Entry};
+use crate::context::{Contexts, Registration};
 use crate::header;
 use crate::metrics::Metrics;
 use crate::routing::Downstream;
-use crate::ticket::{Begin, Closing, Tickets};
+use crate::ticket::{CloseGuard, Disposition, Tickets};
 use crate::upstream::Upstream;
 use sailtrack_admission::Policy;
 use sailtrack_admission::{Admission, WindowPermit, Windows};
@@ -107,12 +107,12 @@
     async fn execute_once(self: &Rc<Self>, call: Call, ticket: Ticket) -> Answer {
         let deadline = Deadline::from_std(call.deadline);
         let answer = match self.tickets.begin(&ticket) {
-            Begin::Run => self.start_once(call, &ticket),
-            Begin::Wait(answer) => answer,
-            Begin::Closed(answer) => return answer,
-            Begin::Expired => return Answer::unknown(Reason::TicketExpired),
-            Begin::Full => return self.later(Answer::unknown(Reason::RecordsFull)),
-            Begin::Foreign => return Answer::unknown(Reason::HomeGone),
+            Disposition::Run => self.start_once(call, &ticket),
+            Disposition::Wait(answer) => answer,
+            Disposition::Closed(answer) => return answer,
+            Disposition::Expired => return Answer::unknown(Reason::TicketExpired),
+            Disposition::Full => return self.later(Answer::unknown(Reason::RecordsFull)),
+            Disposition::Foreign => return Answer::unknown(Reason::HomeGone),
         };
         match timeout_at(deadline, answer).await {
             Ok(Ok(answer)) => answer,
@@ -123,7 +123,7 @@
 
     /// Runs a call whose answer is kept, so a caller that has left finds it by its ticket.
     fn start_once(self: &Rc<Self>, call: Call, ticket: &Ticket) -> oneshot::Receiver<Answer> {
-        let closing = Closing::new(&self.tickets, ticket);
+        let closing = CloseGuard::new(&self.tickets, ticket);
         let patience = call.deadline + ONCE_GRACE;
         self.start(call, patience, |answer| closing.close(answer))
     }
@@ -245,7 +245,7 @@
     fn take_response(
         &self,
         call: &Call,
-        entry: &Entry,
+        entry: &Registration,
         response: Response,
         sample: Sample,
     ) -> Answer {
@@ -280,7 +280,7 @@
     }
 }
 
-fn message(call: &Call, entry: &Entry) -> Request {
+fn message(call: &Call, entry: &Registration) -> Request {
     let time_left = call.time_left().as_millis().to_string();
     let mut request = Request::new(call.method.clone(), call.path.clone(), call.body.clone())
         .with(header::CONTEXT, &entry.token())
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,13 +5,13 @@
 //! where and how often it runs. Its parts are services that find each other by
 //! name in the table of the micro-kernel; [`run`] is the only public item.
 
+mod accountant;
 mod burn;
 mod call;
 mod cli;
 mod configuration;
 mod context;
 mod dispatch;
-mod entrance;
 mod execute;
 mod header;
 mod membership;
--- a/crates/node/src/membership/gossip.rs
+++ b/crates/node/src/membership/gossip.rs
@@ -16,7 +16,7 @@
 use crate::configuration::Configuration;
 use crate::membership::{Membership, Peer};
 use crate::metrics::Metrics;
-use crate::settings::Watch;
+use crate::settings::Detector;
 
 /// How many members are told at once about a new configuration or a leaving node.
 const FAN_OUT: usize = 4;
@@ -27,7 +27,7 @@
 
 /// The exchange of datagrams with other nodes.
 pub(crate) struct Gossip {
-    pub(crate) watch: Watch,
+    pub(crate) detector: Detector,
     pub(crate) membership: Rc<Membership>,
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) metrics: Rc<Metrics>,
@@ -45,14 +45,14 @@
 
 impl Gossip {
     pub(crate) fn new(
-        watch: Watch,
+        detector: Detector,
         socket: UdpSocket,
         membership: Rc<Membership>,
         configuration: Rc<Configuration>,
         metrics: Rc<Metrics>,
     ) -> Self {
         Self {
-            watch,
+            detector,
             membership,
             configuration,
             metrics,
--- a/crates/node/src/membership/member.rs
+++ b/crates/node/src/membership/member.rs
@@ -35,7 +35,7 @@
 
 /// What is known about a member, and how often that was passed on.
 #[derive(Debug)]
-pub(crate) struct Known {
+pub(crate) struct Record {
     pub(crate) peer: Rc<Peer>,
     pub(crate) state: State,
     pub(crate) revision: u64,
@@ -43,7 +43,7 @@
     pub(crate) sent: u32,
 }
 
-impl Known {
+impl Record {
     pub(crate) fn new(peer: Peer, update: &Member, now: Instant) -> Self {
         Self {
             peer: Rc::new(peer),
--- a/crates/node/src/membership/mod.rs
+++ b/crates/node/src/membership/mod.rs
@@ -18,14 +18,14 @@
 use sailtrack_units::{NodeName, ServiceName};
 use sailtrack_wire::{Member, State};
 
-use crate::settings::Watch;
+use crate::settings::Detector;
 pub(crate) use gossip::Gossip;
-pub(crate) use member::{Known, Peer};
+pub(crate) use member::{Peer, Record};
 
 /// The members that this node knows, itself included.
 pub(crate) struct Membership {
     me: RefCell<Member>,
-    known: RefCell<BTreeMap<NodeName, Known>>,
+    known: RefCell<BTreeMap<NodeName, Record>>,
     by_service: RefCell<HashMap<ServiceName, Rc<[Rc<Peer>]>>>,
     changes: Cell<u64>,
     agreed: Cell<bool>,
@@ -142,7 +142,7 @@
         }
         log_change(&peer, earlier_state, update.state());
         let name = peer.name.clone();
-        known.insert(name, Known::new(peer, update, now));
+        known.insert(name, Record::new(peer, update, now));
         drop(known);
         self.note_change();
         true
@@ -154,19 +154,19 @@
     }
 
     /// Holds the suspects for dead that did not answer for themselves in time, and forgets old ones.
-    pub(crate) fn expire(&self, now: Instant, watch: &Watch) -> Vec<Rc<Peer>> {
+    pub(crate) fn expire(&self, now: Instant, detector: &Detector) -> Vec<Rc<Peer>> {
         let overdue: Vec<Rc<Peer>> = {
             let known = self.known.borrow();
             let suspects = known.values().filter(|known| known.state == State::Suspect);
-            let overdue = suspects.filter(|known| now - known.changed >= watch.suspicion.0);
+            let overdue = suspects.filter(|known| now - known.changed >= detector.suspicion.0);
             overdue.map(|known| Rc::clone(&known.peer)).collect()
         };
         for peer in &overdue {
             self.change_state(&peer.name, State::Dead, now);
         }
-        self.known
-            .borrow_mut()
-            .retain(|_, known| known.state != State::Dead || now - known.changed < watch.forget.0);
+        self.known.borrow_mut().retain(|_, known| {
+            known.state != State::Dead || now - known.changed < detector.forget.0
+        });
         overdue
     }
 
--- a/crates/node/src/membership/probe.rs
+++ b/crates/node/src/membership/probe.rs
@@ -29,11 +29,11 @@
             if round.is_multiple_of(SEARCH_ROUNDS) {
                 self.search_dead().await;
             }
-            let expired = self.membership.expire(Instant::now(), &self.watch);
+            let expired = self.membership.expire(Instant::now(), &self.detector);
             for peer in &expired {
                 lost(peer);
             }
-            sleep(self.watch.period.0.saturating_sub(started.elapsed())).await;
+            sleep(self.detector.period.0.saturating_sub(started.elapsed())).await;
         }
     }
 
@@ -51,11 +51,11 @@
 
     async fn ping(&self, peer: &Peer, sequence: u64, mut answer: oneshot::Receiver<()>) -> bool {
         self.send(Purpose::Ping, sequence, peer, false).await;
-        if timeout(self.watch.timeout.0, &mut answer).await.is_ok() {
+        if timeout(self.detector.timeout.0, &mut answer).await.is_ok() {
             return true;
         }
         self.ask_helpers(peer, sequence).await;
-        let rest: Duration = self.watch.timeout.0;
+        let rest: Duration = self.detector.timeout.0;
         timeout(rest, answer).await.is_ok()
     }
 
--- a/crates/node/src/membership/tests.rs
+++ b/crates/node/src/membership/tests.rs
@@ -6,7 +6,7 @@
 use sailtrack_wire::{Member, State};
 
 use crate::membership::Membership;
-use crate::settings::Watch;
+use crate::settings::Detector;
 
 const FORGET: Duration = Duration::from_mins(10);
 
@@ -27,8 +27,8 @@
     Membership::new(member(name, State::Serving))
 }
 
-fn watch() -> Watch {
-    Watch {
+fn detector() -> Detector {
+    Detector {
         period: Period::from_millis(500),
         timeout: Period::from_millis(200),
         suspicion: Period::from_millis(1500),
@@ -53,11 +53,11 @@
         assert!(node.merge(&member("desk-3", State::Dead), now));
     }
     let later = now + FORGET;
-    nodes[0].expire(later, &watch());
+    nodes[0].expire(later, &detector());
     assert!(nodes[0].all().is_empty());
     // The other one has not forgotten yet and tells what it knows.
     nodes[0].merge(&member("desk-3", State::Dead), later);
-    nodes[1].expire(later, &watch());
+    nodes[1].expire(later, &detector());
     assert!(nodes[0].all().is_empty());
     assert!(nodes[1].all().is_empty());
 }
--- a/crates/node/src/node/duty.rs
+++ b/crates/node/src/node/maintenance.rs
@@ -19,7 +19,7 @@
 use crate::membership::{Gossip, Membership};
 use crate::operator::{settled_key, unknown_key};
 use crate::peer::Peers;
-use crate::platform::{Backoff, Expect, Platform, Row};
+use crate::platform::{Backoff, Platform, Precondition, Row};
 use crate::settings::Seeds;
 use crate::unknown::{Unknown, Unknowns};
 use crate::upstream::Upstream;
@@ -65,7 +65,7 @@
 }
 
 /// What a node does by itself.
-pub(crate) struct Duties {
+pub(crate) struct Maintenance {
     pub(crate) identity: Identity,
     pub(crate) phase: Rc<Cell<Phase>>,
     pub(crate) renew: Duration,
@@ -82,11 +82,11 @@
     pub(crate) unknowns: Rc<Unknowns>,
 }
 
-impl Service for Duties {
+impl Service for Maintenance {
     const NAME: &'static str = "duties";
 }
 
-impl Duties {
+impl Maintenance {
     /// Says what state the node is in, and spreads it if that is new.
     pub(crate) async fn refresh(&self) {
         let ready = self.upstream.is_ready(Instant::now());
@@ -149,7 +149,7 @@
         };
         let row = serde_json::to_string(&contact).unwrap_or_default();
         let key = row_key(contact.node.as_str());
-        let written = self.platform.write(&key, Expect::Anything, row).await;
+        let written = self.platform.write(&key, Precondition::Any, row).await;
         written.is_ok()
     }
 
@@ -279,7 +279,7 @@
     async fn save_unknown(&self, unknown: Unknown) -> bool {
         let key = unknown_key(&unknown.ticket);
         let row = serde_json::to_string(&unknown).unwrap_or_default();
-        let written = self.platform.write(&key, Expect::Anything, row).await;
+        let written = self.platform.write(&key, Precondition::Any, row).await;
         if written.is_err() {
             self.unknowns.put_back(unknown);
             return false;
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! Puts the services of a node together and leads it through its life.
 
-mod duty;
 mod handover;
+mod maintenance;
 mod services;
 
 use std::cell::Cell;
@@ -21,7 +21,7 @@
 use crate::membership::{Gossip, Membership};
 use crate::platform::Platform;
 use crate::settings::Settings;
-use duty::Duties;
+use maintenance::Maintenance;
 
 /// How often waiting for a condition looks at it.
 const LOOK: Duration = Duration::from_millis(10);
@@ -88,7 +88,7 @@
     terminate: &mut Terminate,
     in_flight: &Cell<usize>,
 ) -> Result<Life<Draining>, Error> {
-    table.find::<Duties>()?.refresh().await;
+    table.find::<Maintenance>()?.refresh().await;
     terminate.wait().await.map_err(Error::Signal)?;
     emit(
         &catalogue::STOP_REQUESTED,
@@ -126,7 +126,7 @@
         sleep(LOOK).await;
     }
     handover::hand_over(table, settings).await?;
-    let row = duty::row_key(&membership.me().node);
+    let row = maintenance::row_key(&membership.me().node);
     // The row of a node that is gone is ignored by its age in any case.
     let _ = monoio::time::timeout(FAREWELL_TIME, platform.remove(&row)).await;
     let _stopped = life.stop();
--- a/crates/node/src/node/services.rs
+++ b/crates/node/src/node/services.rs
@@ -15,20 +15,20 @@
 use sailtrack_units::{Incarnation, Timestamp};
 use sailtrack_wire::{Member, State};
 
+use crate::accountant::Accountant;
 use crate::burn::Burn;
-use crate::configuration::{Acceptor as ConfigAcceptor, Configuration, Spreader};
+use crate::configuration::{Acceptor as ConfigAcceptor, Configuration, Fetcher};
 use crate::context::Contexts;
 use crate::dispatch::Dispatcher;
-use crate::entrance::Entrance;
 use crate::execute::Executor;
 use crate::membership::{Gossip, Membership};
 use crate::metrics::Metrics;
-use crate::node::duty::Duties;
+use crate::node::maintenance::Maintenance;
 use crate::operator::Operator;
 use crate::peer::{Acceptor as PeerAcceptor, Peers};
 use crate::platform::Platform;
 use crate::port::{ClientPort, LocalPort, OperatorPort};
-use crate::retry::Ratios;
+use crate::retry::Limiter;
 use crate::routing::{Downstream, Routing};
 use crate::settings::Settings;
 use crate::ticket::Tickets;
@@ -103,7 +103,7 @@
 
 fn install_state(table: &Table, settings: &Settings) {
     let identity = &settings.identity;
-    let rules = settings.rules;
+    let tuning = settings.tuning;
     let incarnation = new_incarnation();
     table.install(Metrics::new());
     table.install(Burn::default());
@@ -112,16 +112,16 @@
     table.install(Upstream::default());
     table.install(Downstream::default());
     table.install(Windows::default());
-    table.install(Admission::new(rules.admission, Instant::now()));
-    table.install(Ratios::new(rules.retry_ratio));
+    table.install(Admission::new(tuning.admission, Instant::now()));
+    table.install(Limiter::new(tuning.retry_ratio));
     table.install(Unknowns::new(identity.name.clone()));
     table.install(Platform::new(
         settings.platform.address,
         settings.ports.peer.ip(),
     ));
     let tickets = Tickets::builder(identity.name.clone(), incarnation)
-        .life(rules.ticket_life.0)
-        .memory(rules.ticket_memory);
+        .life(tuning.ticket_life.0)
+        .memory(tuning.ticket_memory);
     table.install(tickets.build());
     table.install(Membership::new(Member {
         node: identity.name.to_string(),
@@ -144,7 +144,7 @@
         Rc::clone(&metrics),
     ));
     table.install(Gossip::new(
-        settings.watch,
+        settings.detector,
         socket,
         membership,
         table.find()?,
@@ -163,7 +163,7 @@
     life: &Life<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
-    let policy = settings.rules.admission.policy;
+    let policy = settings.tuning.admission.policy;
     table.install(Executor {
         policy,
         phase: life.watch(),
@@ -194,21 +194,21 @@
         routing: table.find()?,
         peers: table.find()?,
         executor: table.find()?,
-        ratios: table.find()?,
+        retry_limiter: table.find()?,
         tickets: table.find()?,
         unknowns: table.find()?,
         metrics: table.find()?,
         burn: table.find()?,
     });
-    table.install(Entrance::new(table.find()?, table.find()?, table.find()?));
+    table.install(Accountant::new(table.find()?, table.find()?, table.find()?));
     table.install(PeerAcceptor {
         membership: table.find()?,
         configuration: table.find()?,
         executor: table.find()?,
-        entrance: table.find()?,
+        accountant: table.find()?,
         tickets: table.find()?,
     });
-    table.install(Duties {
+    table.install(Maintenance {
         identity: settings.identity.clone(),
         phase: life.watch(),
         renew: settings.platform.renew.0,
@@ -239,13 +239,13 @@
     let probe = Rc::clone(&gossip).probe(move |peer| lost.drop_link(&peer.name));
     task::spawn("probe", probe);
     start_configuration_tasks(table, settings, gossip, peers)?;
-    let duties = table.find::<Duties>()?;
-    task::spawn("refresh", Rc::clone(&duties).keep_refreshing());
-    task::spawn("renewal", Rc::clone(&duties).keep_renewing());
-    task::spawn("discovery", Rc::clone(&duties).keep_discovering());
-    task::spawn("seeds", Rc::clone(&duties).keep_asking_seeds());
-    task::spawn("preparation", Rc::clone(&duties).keep_preparing());
-    task::spawn("unknown outcomes", duties.keep_saving_unknowns());
+    let maintenance = table.find::<Maintenance>()?;
+    task::spawn("refresh", Rc::clone(&maintenance).keep_refreshing());
+    task::spawn("renewal", Rc::clone(&maintenance).keep_renewing());
+    task::spawn("discovery", Rc::clone(&maintenance).keep_discovering());
+    task::spawn("seeds", Rc::clone(&maintenance).keep_asking_seeds());
+    task::spawn("preparation", Rc::clone(&maintenance).keep_preparing());
+    task::spawn("unknown outcomes", maintenance.keep_saving_unknowns());
     Ok(())
 }
 
@@ -266,7 +266,7 @@
         admission.declare_limit(declaration.limit(&identity.service));
         upstream.set_drained(declaration.drained.contains(&identity.name));
     });
-    let spreader = Rc::new(Spreader {
+    let spreader = Rc::new(Fetcher {
         configuration,
         platform: table.find()?,
         peers,
@@ -286,19 +286,19 @@
     [client, local, operator]: [Port; 3],
 ) -> Result<(), Error> {
     let client_port = Rc::new(ClientPort {
-        policy: settings.rules.admission.policy,
+        policy: settings.tuning.admission.policy,
         phase: life.watch(),
         configuration: table.find()?,
         dispatcher: table.find()?,
-        entrance: table.find()?,
+        accountant: table.find()?,
         routing: table.find()?,
         tickets: table.find()?,
         platform: table.find()?,
         in_flight: Rc::clone(in_flight),
     });
-    let duties = table.find::<Duties>()?;
+    let maintenance = table.find::<Maintenance>()?;
     let local_port = Rc::new(LocalPort {
-        policy: settings.rules.admission.policy,
+        policy: settings.tuning.admission.policy,
         identity: settings.identity.clone(),
         configuration: table.find()?,
         contexts: table.find()?,
@@ -307,8 +307,8 @@
         admission: table.find()?,
         in_flight: Rc::clone(in_flight),
         announced: Box::new(move || {
-            let duties = Rc::clone(&duties);
-            task::spawn("announcement", async move { duties.refresh().await });
+            let maintenance = Rc::clone(&maintenance);
+            task::spawn("announcement", async move { maintenance.refresh().await });
         }),
     });
     let answers = table.install(operator_service(table, settings, life)?);
@@ -340,6 +340,6 @@
         upstream: table.find()?,
         metrics: table.find()?,
         burn: table.find()?,
-        entrance: table.find()?,
+        accountant: table.find()?,
     })
 }
--- a/crates/node/src/operator/change.rs
+++ b/crates/node/src/operator/change.rs
@@ -10,7 +10,7 @@
 use sailtrack_units::{ConfigVersion, NodeName};
 use serde_json::{Value, json};
 
-use crate::configuration::{Acceptance, Change, Decision};
+use crate::configuration::{Acceptance, Change, Proposal};
 use crate::operator::reply::Refusal;
 use crate::operator::{Author, Operator, json};
 
@@ -89,7 +89,7 @@
         summary: String,
         declaration: Declaration,
     ) -> Response {
-        let decision = Decision {
+        let decision = Proposal {
             command: author.command.clone(),
             operator: author.operator.clone(),
             base,
--- a/crates/node/src/operator/mod.rs
+++ b/crates/node/src/operator/mod.rs
@@ -18,9 +18,9 @@
 use sailtrack_units::OperatorName;
 use sailtrack_wire::State;
 
+use crate::accountant::Accountant;
 use crate::burn::Burn;
 use crate::configuration::{Acceptor, Configuration};
-use crate::entrance::Entrance;
 use crate::header;
 use crate::membership::{Gossip, Membership};
 use crate::metrics::{Metrics, Snapshot};
@@ -53,7 +53,7 @@
     pub(crate) upstream: Rc<Upstream>,
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) burn: Rc<Burn>,
-    pub(crate) entrance: Rc<Entrance>,
+    pub(crate) accountant: Rc<Accountant>,
 }
 
 impl Service for Operator {
@@ -147,7 +147,7 @@
             upstream_connections: self.upstream.idle_connections(),
             platform_operations: self.platform.operations(),
             panics: task::panics(),
-            requests: self.entrance.len(),
+            requests: self.accountant.len(),
             ejected: self.routing.ejected().len(),
             reported_load: self.upstream.reported_load().unwrap_or_default(),
         })
--- a/crates/node/src/operator/settle.rs
+++ b/crates/node/src/operator/settle.rs
@@ -11,7 +11,7 @@
 use crate::operator::query::unknown_key;
 use crate::operator::reply::Refusal;
 use crate::operator::{Author, Operator, json};
-use crate::platform::{Expect, PlatformError, Written};
+use crate::platform::{PlatformError, Precondition, Written};
 
 /// Where settled outcomes stand in the platform's table.
 const SETTLED_PREFIX: &str = "settled/";
@@ -43,7 +43,7 @@
         let value = value.to_string();
         let written = self
             .platform
-            .write(&key, Expect::Absent, value.clone())
+            .write(&key, Precondition::Absent, value.clone())
             .await;
         Ok(match written {
             Ok(Written::Done(_)) => self.settled(author, ticket, verdict).await,
--- a/crates/node/src/peer/accept.rs
+++ b/crates/node/src/peer/accept.rs
@@ -19,13 +19,13 @@
 use sailtrack_net::task;
 use sailtrack_wire::{Body, Call as CallMessage, Chunk, Config, Fetch, Handover, Reason};
 
+use crate::accountant::Accountant;
 use crate::call::{Answer, Call};
 use crate::configuration::Configuration;
-use crate::entrance::Entrance;
 use crate::execute::Executor;
 use crate::membership::Membership;
-use crate::peer::assembly::CHUNK;
 use crate::peer::convert::{answer_to_wire, call_from_wire, part_from_wire};
+use crate::peer::reassembly::CHUNK;
 use crate::ticket::Tickets;
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
@@ -41,7 +41,7 @@
     pub(crate) membership: Rc<Membership>,
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) executor: Rc<Executor>,
-    pub(crate) entrance: Rc<Entrance>,
+    pub(crate) accountant: Rc<Accountant>,
     pub(crate) tickets: Rc<Tickets>,
 }
 
@@ -163,7 +163,7 @@
         let current = self.configuration.current();
         let kind = current.declaration.kind(&call.kind);
         let repeat = kind.map_or(call.repeat, |kind| kind.repeat);
-        self.entrance.account(Call { repeat, ..call }).await
+        self.accountant.account(Call { repeat, ..call }).await
     }
 
     /// Takes in what a node hands over, and says whether there was room.
--- a/crates/node/src/peer/link.rs
+++ b/crates/node/src/peer/link.rs
@@ -19,8 +19,8 @@
 use crate::call::{Answer, Call};
 use crate::membership::Peer;
 use crate::metrics::Metrics;
-use crate::peer::assembly::Assembly;
 use crate::peer::convert::{call_to_wire, part_to_wire};
+use crate::peer::reassembly::Reassembly;
 use crate::ticket::Part;
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
@@ -42,7 +42,7 @@
     opened: Shared<oneshot::Receiver<()>>,
     outgoing: RefCell<Option<mpsc::Sender<Body>>>,
     pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
-    assembling: RefCell<HashMap<u64, Assembly>>,
+    assembling: RefCell<HashMap<u64, Reassembly>>,
     fetching: RefCell<Vec<oneshot::Sender<Config>>>,
     next_exchange: Cell<u64>,
     metrics: Rc<Metrics>,
@@ -229,25 +229,25 @@
         if !self.pending.borrow().contains_key(&exchange) {
             return;
         }
-        match Assembly::new(head) {
-            Some(assembly) if assembly.is_whole() => self.give(exchange, assembly.finish()),
-            Some(assembly) => {
-                self.assembling.borrow_mut().insert(exchange, assembly);
+        match Reassembly::new(head) {
+            Some(reassembly) if reassembly.is_whole() => self.give(exchange, reassembly.finish()),
+            Some(reassembly) => {
+                self.assembling.borrow_mut().insert(exchange, reassembly);
             }
             None => self.give(exchange, Answer::unknown(Reason::AnswerTooLarge)),
         }
     }
 
     fn take_chunk(&self, exchange: u64, data: &bytes::Bytes) {
-        let Some(mut assembly) = self.assembling.borrow_mut().remove(&exchange) else {
+        let Some(mut reassembly) = self.assembling.borrow_mut().remove(&exchange) else {
             return;
         };
-        if !assembly.add(data) {
+        if !reassembly.add(data) {
             self.give(exchange, Answer::unknown(Reason::AnswerTooLarge));
-        } else if assembly.is_whole() {
-            self.give(exchange, assembly.finish());
+        } else if reassembly.is_whole() {
+            self.give(exchange, reassembly.finish());
         } else {
-            self.assembling.borrow_mut().insert(exchange, assembly);
+            self.assembling.borrow_mut().insert(exchange, reassembly);
         }
     }
 
--- a/crates/node/src/peer/mod.rs
+++ b/crates/node/src/peer/mod.rs
@@ -1,9 +1,9 @@
 //! Calls to other nodes, over one connection to each.
 
 mod accept;
-mod assembly;
 mod convert;
 mod link;
+mod reassembly;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/node/src/peer/assembly.rs
+++ b/crates/node/src/peer/reassembly.rs
@@ -12,13 +12,13 @@
 pub(crate) const CHUNK: usize = 64 * 1024;
 
 /// An answer of which a part may still be missing.
-pub(crate) struct Assembly {
+pub(crate) struct Reassembly {
     head: wire::Answer,
     body: BytesMut,
     length: usize,
 }
 
-impl Assembly {
+impl Reassembly {
     /// Starts with the head of an answer, or nothing if its body is too long.
     pub(crate) fn new(mut head: wire::Answer) -> Option<Self> {
         let length = usize::try_from(head.body_length).ok()?;
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -57,9 +57,9 @@
 
 /// What a row must be like for a write to take effect.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Expect {
+pub(crate) enum Precondition {
     /// Nothing is expected.
-    Anything,
+    Any,
     /// The row must not exist.
     Absent,
     /// The row must have this version.
@@ -141,14 +141,14 @@
     pub(crate) async fn write(
         &self,
         key: &str,
-        expect: Expect,
+        expect: Precondition,
         value: String,
     ) -> Result<Written, PlatformError> {
         let mut request = Request::new(Method::PUT, format!("/rows/{key}"), value);
         match expect {
-            Expect::Anything => {}
-            Expect::Absent => request = request.with(IF_VERSION, "0"),
-            Expect::Version(version) => {
+            Precondition::Any => {}
+            Precondition::Absent => request = request.with(IF_VERSION, "0"),
+            Precondition::Version(version) => {
                 request = request.with(IF_VERSION, &version.to_string());
             }
         }
--- a/crates/node/src/port/client.rs
+++ b/crates/node/src/port/client.rs
@@ -11,14 +11,14 @@
 use sailtrack_units::{RequestId, Ticket};
 use sailtrack_wire::{Outcome, Reason};
 
+use crate::accountant::Accountant;
 use crate::call::Answer;
 use crate::configuration::Configuration;
 use crate::dispatch::Dispatcher;
-use crate::entrance::Entrance;
 use crate::header;
 use crate::operator::{settled_key, verdict_of};
-use crate::platform::{Expect, Platform, PlatformError, Written};
-use crate::port::incoming::{Builder, Traits};
+use crate::platform::{Platform, PlatformError, Precondition, Written};
+use crate::port::incoming::{Builder, Profile};
 use crate::port::reply;
 use crate::retry::Budget;
 use crate::routing::{Routing, Target};
@@ -36,7 +36,7 @@
     pub(crate) phase: Rc<Cell<Phase>>,
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) dispatcher: Rc<Dispatcher>,
-    pub(crate) entrance: Rc<Entrance>,
+    pub(crate) accountant: Rc<Accountant>,
     pub(crate) routing: Rc<Routing>,
     pub(crate) tickets: Rc<Tickets>,
     pub(crate) platform: Rc<Platform>,
@@ -84,7 +84,7 @@
     }
 
     async fn dispatch(&self, request: Request, kind: &Kind, ticket: Option<Ticket>) -> Response {
-        let traits = Traits::from(kind);
+        let traits = Profile::from(kind);
         let (id, is_chosen) = request_id(&request);
         let call = Builder::new(traits, kind.service.clone(), request)
             .request(id)
@@ -93,7 +93,7 @@
         let ticket = call.ticket.clone();
         let accounted = is_chosen && call.ticket.is_none() && self.policy == Policy::Adaptive;
         let answer = if accounted {
-            self.entrance.request(call).await
+            self.accountant.request(call).await
         } else {
             let budget = Budget::new(call.allowance);
             self.dispatcher.dispatch(call, &budget).await
@@ -183,7 +183,7 @@
         for _ in 0..CLAIM_ATTEMPTS {
             let written = self
                 .platform
-                .write(&row, Expect::Absent, ticket.to_string())
+                .write(&row, Precondition::Absent, ticket.to_string())
                 .await;
             match written {
                 Ok(Written::Done(_)) => return Ok(ticket),
--- a/crates/node/src/port/incoming.rs
+++ b/crates/node/src/port/incoming.rs
@@ -19,7 +19,7 @@
 
 /// What is declared about a call, or assumed if nothing is.
 #[derive(Debug, Clone)]
-pub(crate) struct Traits {
+pub(crate) struct Profile {
     pub(crate) name: KindName,
     pub(crate) repeat: Repeat,
     pub(crate) allowance: Allowance,
@@ -27,7 +27,7 @@
     pub(crate) timeout: Duration,
 }
 
-impl From<&Kind> for Traits {
+impl From<&Kind> for Profile {
     fn from(kind: &Kind) -> Self {
         Self {
             name: kind.name.clone(),
@@ -39,7 +39,7 @@
     }
 }
 
-impl Traits {
+impl Profile {
     /// Returns what is assumed about a call of an undeclared kind: one attempt, shed first.
     ///
     /// The name is a constant, so that nobody outside can make metrics grow.
@@ -80,7 +80,7 @@
 
 impl Builder {
     /// Starts with a call to a service that begins a root request of its own.
-    pub(crate) fn new(traits: Traits, service: ServiceName, request: Request) -> Self {
+    pub(crate) fn new(traits: Profile, service: ServiceName, request: Request) -> Self {
         let id = RequestId::draw(&mut rand::rng());
         let call = Call {
             request: id,
--- a/crates/node/src/port/local.rs
+++ b/crates/node/src/port/local.rs
@@ -20,7 +20,7 @@
 use crate::context::{Context, Contexts, SharedAnswer, SubcallKey};
 use crate::dispatch::Dispatcher;
 use crate::header;
-use crate::port::incoming::{Builder, Traits};
+use crate::port::incoming::{Builder, Profile};
 use crate::port::reply;
 use crate::retry::Budget;
 use crate::upstream::{Announcement, Upstream};
@@ -189,12 +189,12 @@
         reply::response(&self.dispatcher.dispatch(call, &budget).await)
     }
 
-    fn traits(&self, service: &ServiceName, request: &Request) -> Option<Traits> {
+    fn traits(&self, service: &ServiceName, request: &Request) -> Option<Profile> {
         let current = self.configuration.current();
         let kind = current
             .declaration
             .kind_of(service, request.method.as_str(), &request.path);
-        kind.map(Traits::from).or_else(Traits::undeclared)
+        kind.map(Profile::from).or_else(Profile::undeclared)
     }
 }
 
--- a/crates/node/src/retry/budget.rs
+++ b/crates/node/src/retry/budget.rs
@@ -43,11 +43,11 @@
     /// Lends half of what is left, rounded up, to one call.
     ///
     /// What the call does not give back counts as spent.
-    pub(crate) fn lend(&self) -> Loan {
+    pub(crate) fn lend(&self) -> Reservation {
         let available = self.inner.left.get();
         let lent = available.div_ceil(2);
         self.inner.left.set(available - lent);
-        Loan {
+        Reservation {
             budget: self.clone(),
             lent,
         }
@@ -61,12 +61,12 @@
 
 /// A part of a budget lent to one call.
 #[derive(Debug)]
-pub(crate) struct Loan {
+pub(crate) struct Reservation {
     budget: Budget,
     lent: u32,
 }
 
-impl Loan {
+impl Reservation {
     /// Returns the allowance that the call may use.
     pub(crate) fn amount(&self) -> Allowance {
         Allowance(self.lent)
--- a/crates/node/src/retry/ratio.rs
+++ b/crates/node/src/retry/limiter.rs
@@ -10,16 +10,16 @@
 const MAX_TOKENS: f64 = 20.0;
 
 /// A token bucket for each service, filled by successes and emptied by retries.
-pub(crate) struct Ratios {
+pub(crate) struct Limiter {
     share: Ratio,
     tokens: RefCell<BTreeMap<ServiceName, f64>>,
 }
 
-impl Service for Ratios {
+impl Service for Limiter {
     const NAME: &'static str = "retry-ratio";
 }
 
-impl Ratios {
+impl Limiter {
     pub(crate) fn new(share: Ratio) -> Self {
         Self {
             share,
--- a/crates/node/src/retry/mod.rs
+++ b/crates/node/src/retry/mod.rs
@@ -1,9 +1,9 @@
 //! Bounds on retries: an allowance for each request and a ratio for each service.
 
 mod budget;
-mod ratio;
+mod limiter;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use budget::Budget;
-pub(crate) use ratio::Ratios;
+pub(crate) use limiter::Limiter;
--- a/crates/node/src/retry/tests.rs
+++ b/crates/node/src/retry/tests.rs
@@ -2,7 +2,7 @@
 
 use sailtrack_units::{Allowance, Ratio};
 
-use crate::retry::{Budget, Ratios};
+use crate::retry::{Budget, Limiter};
 
 #[test]
 fn parallel_calls_share() {
@@ -30,13 +30,13 @@
 
 #[test]
 fn ratio_runs_out() {
-    let ratios = Ratios::new(Ratio(0.1));
+    let retry_limiter = Limiter::new(Ratio(0.1));
     let service = "ledger".parse().expect("a name");
-    let taken = (0..100).filter(|_| ratios.take(&service)).count();
+    let taken = (0..100).filter(|_| retry_limiter.take(&service)).count();
     assert_eq!(taken, 20);
     for _ in 0..11 {
-        ratios.note_success(&service);
+        retry_limiter.note_success(&service);
     }
-    assert!(ratios.take(&service));
-    assert!(!ratios.take(&service));
+    assert!(retry_limiter.take(&service));
+    assert!(!retry_limiter.take(&service));
 }
--- a/crates/node/src/routing/fading.rs
+++ b/crates/node/src/routing/decay.rs
@@ -11,12 +11,12 @@
 
 /// An admission level with the time at which it was heard of.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Fading {
+pub(crate) struct Level {
     level: Rank,
     heard: Instant,
 }
 
-impl Fading {
+impl Level {
     pub(crate) fn new(level: Rank, heard: Instant) -> Self {
         Self { level, heard }
     }
--- a/crates/node/src/routing/downstream.rs
+++ b/crates/node/src/routing/downstream.rs
@@ -7,12 +7,12 @@
 use sailtrack_kernel::Service;
 use sailtrack_units::{KindName, Rank};
 
-use crate::routing::fading::Fading;
+use crate::routing::decay::Level;
 
 /// What executions of the own upstream have met further down.
 #[derive(Default)]
 pub(crate) struct Downstream {
-    levels: RefCell<HashMap<KindName, Fading>>,
+    levels: RefCell<HashMap<KindName, Level>>,
 }
 
 impl Service for Downstream {
@@ -22,12 +22,12 @@
 impl Downstream {
     /// Notes the highest level that an execution met.
     pub(crate) fn note(&self, now: Instant, root_kind: &KindName, level: Rank) {
-        let fading = Fading::new(level, now);
+        let decay = Level::new(level, now);
         let mut levels = self.levels.borrow_mut();
         match levels.get_mut(root_kind) {
-            Some(known) => *known = fading,
+            Some(known) => *known = decay,
             None => {
-                levels.insert(root_kind.clone(), fading);
+                levels.insert(root_kind.clone(), decay);
             }
         }
     }
--- a/crates/node/src/routing/mod.rs
+++ b/crates/node/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Chooses where a call runs.
 
+mod decay;
 mod downstream;
-mod fading;
 mod peer_load;
 
 use std::cell::RefCell;
@@ -140,7 +140,11 @@
     /// Returns the node that accounts for the retries of a client's request.
     ///
     /// Every node of a failure domain that knows the same members returns the same one.
-    pub(crate) fn accountant(&self, service: &ServiceName, request: RequestId) -> Option<Target> {
+    pub(crate) fn accounting_node(
+        &self,
+        service: &ServiceName,
+        request: RequestId,
+    ) -> Option<Target> {
         let now = Instant::now();
         let peers = self.membership.serving(service);
         let near = peers
--- a/crates/node/src/routing/peer_load.rs
+++ b/crates/node/src/routing/peer_load.rs
@@ -7,7 +7,7 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use crate::call::Answer;
-use crate::routing::fading::Fading;
+use crate::routing::decay::Level;
 use sailtrack_admission::Pressure;
 
 /// This many failures in a row eject a member.
@@ -22,7 +22,7 @@
 pub(crate) struct PeerLoad {
     /// Calls sent and not answered yet.
     pub(crate) outstanding: u32,
-    levels: HashMap<KindName, Fading>,
+    levels: HashMap<KindName, Level>,
     pressure: Option<(Pressure, Instant)>,
     failures: u32,
     ejections: u32,
@@ -52,7 +52,7 @@
             return;
         }
         self.pressure = Some((answer.pressure, now));
-        let level = Fading::new(answer.level, now);
+        let level = Level::new(answer.level, now);
         self.levels.insert(root_kind.clone(), level);
         if answer.outcome == Outcome::Done {
             self.failures = 0;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -42,7 +42,7 @@
 
 /// How the node decides.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Rules {
+pub(crate) struct Tuning {
     /// Who may enter the own upstream.
     pub(crate) admission: admission::Config,
     /// The share of calls that retries may add.
@@ -55,7 +55,7 @@
 
 /// How nodes watch each other.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Watch {
+pub(crate) struct Detector {
     /// The time between two probes.
     pub(crate) period: Period,
     /// How long an answer to a probe may take.
@@ -75,8 +75,8 @@
     pub(crate) identity: Identity,
     pub(crate) ports: Ports,
     pub(crate) platform: Platform,
-    pub(crate) rules: Rules,
-    pub(crate) watch: Watch,
+    pub(crate) tuning: Tuning,
+    pub(crate) detector: Detector,
     pub(crate) seeds: Seeds,
     pub(crate) log_level: LevelFilter,
 }
@@ -88,9 +88,9 @@
         let identity = Identity::read(&document.section("node"));
         let ports = read_ports(&document.section("ports"));
         let platform = read_platform(&document.section("platform"));
-        let rules = read_rules(&document.optional_section("policy"));
+        let tuning = read_rules(&document.optional_section("policy"));
         let membership = document.optional_section("membership");
-        let watch = read_watch(&membership);
+        let detector = read_watch(&membership);
         let seeds = membership.list("seeds", ADDRESS);
         drop(membership);
         let log = document.optional_section("log");
@@ -102,8 +102,8 @@
                 identity,
                 ports,
                 platform,
-                rules,
-                watch,
+                tuning,
+                detector,
                 seeds,
                 log_level,
             }),
@@ -138,9 +138,9 @@
     })
 }
 
-fn read_rules(section: &Section<'_>) -> Rules {
+fn read_rules(section: &Section<'_>) -> Tuning {
     let queue_time = section.or("queue-time", Period::from_millis(100), PERIOD);
-    Rules {
+    Tuning {
         admission: admission::Config {
             policy: section.or("mode", Policy::Adaptive, "forward, fixed or adaptive"),
             fixed_limit: section.ranged("fixed-limit", 100, 1..=100_000),
@@ -154,8 +154,8 @@
     }
 }
 
-fn read_watch(section: &Section<'_>) -> Watch {
-    Watch {
+fn read_watch(section: &Section<'_>) -> Detector {
+    Detector {
         period: section.or("period", Period::from_millis(500), PERIOD),
         timeout: section.or("timeout", Period::from_millis(200), PERIOD),
         suspicion: section.or("suspicion", Period::from_millis(1500), PERIOD),
--- a/crates/node/src/ticket/mod.rs
+++ b/crates/node/src/ticket/mod.rs
@@ -36,7 +36,7 @@
 const LONGEST_HANDED_OVER: usize = 64 * 1024;
 
 /// What to do with a call that brings a ticket.
-pub(crate) enum Begin {
+pub(crate) enum Disposition {
     /// It is the first copy and is to run now.
     Run,
     /// A copy of it is running; its answer will come here.
@@ -96,7 +96,7 @@
     }
 
     /// Says what to do with a call that brings `ticket`.
-    pub(crate) fn begin(&self, ticket: &Ticket) -> Begin {
+    pub(crate) fn begin(&self, ticket: &Ticket) -> Disposition {
         if !self.is_home(ticket) {
             return self.begin_foreign(ticket);
         }
@@ -108,27 +108,27 @@
             return record.join();
         }
         if self.is_expired(ticket.minted, now) || ticket.minted > now.after(MAX_SKEW) {
-            return Begin::Expired;
+            return Disposition::Expired;
         }
         if records.len() >= MAX_RECORDS || self.used.get() >= self.memory.as_usize() {
-            return Begin::Full;
+            return Disposition::Full;
         }
         records.insert(ticket.serial, Record::running(ticket.minted));
         self.by_age.borrow_mut().push_back((now, ticket.serial));
         self.used.set(self.used.get() + RECORD_OVERHEAD);
-        Begin::Run
+        Disposition::Run
     }
 
     /// Says what is known about a ticket of another node that has stopped.
-    fn begin_foreign(&self, ticket: &Ticket) -> Begin {
+    fn begin_foreign(&self, ticket: &Ticket) -> Disposition {
         let now = self.clock.now();
         if self.is_expired(ticket.minted, now) {
-            return Begin::Expired;
+            return Disposition::Expired;
         }
         let certain = self.life.saturating_sub(MAX_SKEW * 2);
         let recent = ticket.minted.after(certain) > now;
         let answer = self.archive.borrow().find(ticket, recent);
-        answer.map_or(Begin::Foreign, Begin::Closed)
+        answer.map_or(Disposition::Foreign, Disposition::Closed)
     }
 
     /// Takes in what a node hands over; returns false if there is no room.
@@ -241,13 +241,13 @@
 }
 
 /// Closes a ticket as unknown if its execution ends without an answer.
-pub(crate) struct Closing {
+pub(crate) struct CloseGuard {
     tickets: Rc<Tickets>,
     ticket: Ticket,
     closed: bool,
 }
 
-impl Closing {
+impl CloseGuard {
     pub(crate) fn new(tickets: &Rc<Tickets>, ticket: &Ticket) -> Self {
         Self {
             tickets: Rc::clone(tickets),
@@ -263,7 +263,7 @@
     }
 }
 
-impl Drop for Closing {
+impl Drop for CloseGuard {
     fn drop(&mut self) {
         if !self.closed {
             let answer = Answer::unknown(Reason::Cancelled);
--- a/crates/node/src/ticket/record.rs
+++ b/crates/node/src/ticket/record.rs
@@ -4,7 +4,7 @@
 use sailtrack_units::Timestamp;
 
 use crate::call::Answer;
-use crate::ticket::Begin;
+use crate::ticket::Disposition;
 
 /// The memory of a record beside its answer, measured as described in `docs/CAPACITY.md`.
 pub(crate) const RECORD_OVERHEAD: usize = 200;
@@ -38,13 +38,13 @@
     }
 
     /// Says what a further copy of the request is to do.
-    pub(crate) fn join(&mut self) -> Begin {
+    pub(crate) fn join(&mut self) -> Disposition {
         match &mut self.state {
-            State::Closed(answer) => Begin::Closed(answer.clone()),
+            State::Closed(answer) => Disposition::Closed(answer.clone()),
             State::Running(waiting) => {
                 let (sender, receiver) = oneshot::channel();
                 waiting.push(sender);
-                Begin::Wait(receiver)
+                Disposition::Wait(receiver)
             }
         }
     }
--- a/crates/node/src/ticket/tests.rs
+++ b/crates/node/src/ticket/tests.rs
@@ -6,7 +6,7 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use crate::call::Answer;
-use crate::ticket::{Begin, Tickets};
+use crate::ticket::{Disposition, Tickets};
 
 const LIFE: Duration = Duration::from_secs(100);
 
@@ -26,23 +26,23 @@
 fn second_copy_waits() {
     let tickets = tickets(1 << 20);
     let ticket = tickets.mint_here();
-    assert!(matches!(tickets.begin(&ticket), Begin::Run));
-    let Begin::Wait(mut waiting) = tickets.begin(&ticket) else {
+    assert!(matches!(tickets.begin(&ticket), Disposition::Run));
+    let Disposition::Wait(mut waiting) = tickets.begin(&ticket) else {
         panic!("a second copy must wait");
     };
     tickets.close(&ticket, &answer());
     let told = waiting.try_recv().expect("it is told").expect("at once");
     assert_eq!(told.body, answer().body);
-    assert!(matches!(tickets.begin(&ticket), Begin::Closed(_)));
+    assert!(matches!(tickets.begin(&ticket), Disposition::Closed(_)));
 }
 
 #[test]
 fn refusal_is_final() {
     let tickets = tickets(1 << 20);
     let ticket = tickets.mint_here();
-    assert!(matches!(tickets.begin(&ticket), Begin::Run));
+    assert!(matches!(tickets.begin(&ticket), Disposition::Run));
     tickets.close(&ticket, &Answer::not_run(Reason::Overload));
-    let Begin::Closed(answer) = tickets.begin(&ticket) else {
+    let Disposition::Closed(answer) = tickets.begin(&ticket) else {
         panic!("a late copy must not run");
     };
     assert_eq!(answer.reason, Reason::Overload);
@@ -55,7 +55,7 @@
         incarnation: Incarnation(6),
         ..tickets.mint_here()
     };
-    assert!(matches!(tickets.begin(&ticket), Begin::Foreign));
+    assert!(matches!(tickets.begin(&ticket), Disposition::Foreign));
 }
 
 #[test]
@@ -66,26 +66,26 @@
         minted: Timestamp(now.0 - 101_000),
         ..tickets.mint_here()
     };
-    assert!(matches!(tickets.begin(&old), Begin::Expired));
+    assert!(matches!(tickets.begin(&old), Disposition::Expired));
     let future = Ticket {
         minted: now.after(Duration::from_secs(200)),
         ..tickets.mint_here()
     };
-    assert!(matches!(tickets.begin(&future), Begin::Expired));
+    assert!(matches!(tickets.begin(&future), Disposition::Expired));
 }
 
 #[test]
 fn forgotten_stays_expired() {
     let tickets = tickets(1 << 20);
     let ticket = tickets.mint_here();
-    assert!(matches!(tickets.begin(&ticket), Begin::Run));
+    assert!(matches!(tickets.begin(&ticket), Disposition::Run));
     tickets.close(&ticket, &answer());
     tickets
         .clock
         .advance(Timestamp::now().after(Duration::from_secs(500)));
-    assert!(matches!(tickets.begin(&ticket), Begin::Expired));
+    assert!(matches!(tickets.begin(&ticket), Disposition::Expired));
     assert_eq!(tickets.size(), (0, ByteSize(0)));
-    assert!(matches!(tickets.begin(&ticket), Begin::Expired));
+    assert!(matches!(tickets.begin(&ticket), Disposition::Expired));
 }
 
 #[test]
@@ -95,8 +95,8 @@
     for _ in 0..20 {
         let ticket = tickets.mint_here();
         match tickets.begin(&ticket) {
-            Begin::Run => tickets.close(&ticket, &answer()),
-            Begin::Full => full = true,
+            Disposition::Run => tickets.close(&ticket, &answer()),
+            Disposition::Full => full = true,
             _ => panic!("a fresh ticket runs or finds no room"),
         }
     }
@@ -120,9 +120,9 @@
         .memory(ByteSize(1 << 20))
         .build();
     let [done, refused, unused] = [home.mint_here(), home.mint_here(), home.mint_here()];
-    assert!(matches!(home.begin(&done), Begin::Run));
+    assert!(matches!(home.begin(&done), Disposition::Run));
     home.close(&done, &answer());
-    assert!(matches!(home.begin(&refused), Begin::Run));
+    assert!(matches!(home.begin(&refused), Disposition::Run));
     home.close(&refused, &Answer::not_run(Reason::Overload));
     (home, [done, refused, unused])
 }
@@ -131,19 +131,19 @@
 fn successor_knows_answers() {
     let (home, [done, refused, unused]) = home_with_tickets();
     let successor = successor();
-    assert!(matches!(successor.begin(&done), Begin::Foreign));
+    assert!(matches!(successor.begin(&done), Disposition::Foreign));
     for part in home.handover_parts(1) {
         assert!(successor.receive(part, Instant::now()));
     }
-    let Begin::Closed(first) = successor.begin(&done) else {
+    let Disposition::Closed(first) = successor.begin(&done) else {
         panic!("its answer was left");
     };
     assert_eq!(first.body, answer().body);
-    let Begin::Closed(refusal) = successor.begin(&refused) else {
+    let Disposition::Closed(refusal) = successor.begin(&refused) else {
         panic!("its refusal was left");
     };
     assert_eq!(refusal.reason, Reason::Overload);
-    let Begin::Closed(never) = successor.begin(&unused) else {
+    let Disposition::Closed(never) = successor.begin(&unused) else {
         panic!("all was left, so it never ran");
     };
     assert_eq!(never.outcome, Outcome::NotRun);
@@ -159,7 +159,7 @@
         assert!(successor.receive(part, Instant::now()));
     }
     assert!(
-        matches!(successor.begin(&unused), Begin::Foreign),
+        matches!(successor.begin(&unused), Disposition::Foreign),
         "what is missing may have run"
     );
 }
@@ -176,7 +176,7 @@
         ..unused
     };
     assert!(
-        matches!(successor.begin(&old), Begin::Foreign),
+        matches!(successor.begin(&old), Disposition::Foreign),
         "the home may have forgotten it"
     );
 }
@@ -184,12 +184,12 @@
 #[test]
 fn running_stays_unknown() {
     let (home, [_, _, running]) = home_with_tickets();
-    assert!(matches!(home.begin(&running), Begin::Run));
+    assert!(matches!(home.begin(&running), Disposition::Run));
     let successor = successor();
     for part in home.handover_parts(1 << 20) {
         assert!(successor.receive(part, Instant::now()));
     }
-    let Begin::Closed(answer) = successor.begin(&running) else {
+    let Disposition::Closed(answer) = successor.begin(&running) else {
         panic!("it is known that it began");
     };
     assert_eq!(answer.outcome, Outcome::Unknown);
@@ -206,8 +206,8 @@
     for part in home.handover_parts(1 << 20) {
         assert!(!successor.receive(part, Instant::now()));
     }
-    assert!(matches!(successor.begin(&done), Begin::Foreign));
-    assert!(matches!(successor.begin(&unused), Begin::Foreign));
+    assert!(matches!(successor.begin(&done), Disposition::Foreign));
+    assert!(matches!(successor.begin(&unused), Disposition::Foreign));
 }
 
 #[test]
@@ -220,8 +220,8 @@
     }
     assert!(successor.size().1 > ByteSize(400));
     successor.forget_handed_over(now + LIFE * 10);
-    assert!(matches!(successor.begin(&done), Begin::Closed(_)));
+    assert!(matches!(successor.begin(&done), Disposition::Closed(_)));
     successor.forget_handed_over(now + LIFE * 10 + Duration::from_mins(2));
     assert_eq!(successor.size().1, ByteSize(0));
-    assert!(matches!(successor.begin(&done), Begin::Foreign));
+    assert!(matches!(successor.begin(&done), Disposition::Foreign));
 }
