--- a/crates/node/src/accountant.rs
+++ b/crates/node/src/accountant.rs
@@ -20,13 +20,13 @@
 use crate::routing::{Routing, Target};
 
 /// How long a request id is remembered.
-const MEMORY: Duration = Duration::from_mins(1);
+const RETENTION: Duration = Duration::from_mins(1);
 /// The most request ids remembered at once.
-const CAPACITY: usize = 50_000;
+const MAX_RECORDS: usize = 50_000;
 
 /// What is remembered about a request id.
 #[derive(Clone)]
-struct Seen {
+struct Record {
     budget: Budget,
     /// Whether an attempt is running or may have run.
     may_have_run: Rc<Cell<bool>>,
@@ -37,8 +37,8 @@
     dispatcher: Rc<Dispatcher>,
     routing: Rc<Routing>,
     peers: Rc<Peers>,
-    seen: RefCell<HashMap<RequestId, Seen>>,
-    by_age: RefCell<VecDeque<(Instant, RequestId)>>,
+    records: RefCell<HashMap<RequestId, Record>>,
+    by_arrival: RefCell<VecDeque<(Instant, RequestId)>>,
 }
 
 impl Service for Accountant {
@@ -51,13 +51,13 @@
             dispatcher,
             routing,
             peers,
-            seen: RefCell::default(),
-            by_age: RefCell::default(),
+            records: RefCell::default(),
+            by_arrival: RefCell::default(),
         }
     }
 
     /// Brings a client's request, whose id it chose itself, to its answer.
-    pub(crate) async fn request(&self, call: Call) -> Answer {
+    pub(crate) async fn submit(&self, call: Call) -> Answer {
         let accounting_node = self.routing.accounting_node(&call.service, call.request);
         let Some(Target::Remote(peer)) = accounting_node else {
             return self.account(call).await;
@@ -73,60 +73,60 @@
     /// Accounts for one attempt and brings it to its answer.
     pub(crate) async fn account(&self, call: Call) -> Answer {
         let _held = Held::new(&self.dispatcher.executor.in_flight);
-        let seen = self.remember(&call);
-        if seen.may_have_run.get() && !seen.budget.spend() {
+        let record = self.record_for(&call);
+        if record.may_have_run.get() && !record.budget.spend() {
             let answer = Answer::unknown(Reason::Allowance);
-            return self.dispatcher.executor.later(answer);
+            return self.dispatcher.executor.retry_later(answer);
         }
-        let before = seen.may_have_run.replace(true);
-        let answer = self.dispatcher.dispatch(call, &seen.budget).await;
+        let had_run = record.may_have_run.replace(true);
+        let answer = self.dispatcher.dispatch(call, &record.budget).await;
         if answer.outcome != Outcome::NotRun {
             return answer;
         }
-        seen.may_have_run.set(before);
-        after_refusal(answer, before)
+        record.may_have_run.set(had_run);
+        after_refusal(answer, had_run)
     }
 
-    fn remember(&self, call: &Call) -> Seen {
+    fn record_for(&self, call: &Call) -> Record {
         let now = Instant::now();
-        self.forget_old(now);
-        let mut seen = self.seen.borrow_mut();
-        if let Some(seen) = seen.get(&call.request) {
-            return seen.clone();
+        self.evict_old(now);
+        let mut records = self.records.borrow_mut();
+        if let Some(record) = records.get(&call.request) {
+            return record.clone();
         }
-        let fresh = Seen {
+        let fresh = Record {
             budget: Budget::new(call.allowance),
             may_have_run: Rc::default(),
         };
-        seen.insert(call.request, fresh.clone());
-        self.by_age.borrow_mut().push_back((now, call.request));
+        records.insert(call.request, fresh.clone());
+        self.by_arrival.borrow_mut().push_back((now, call.request));
         fresh
     }
 
-    fn forget_old(&self, now: Instant) {
-        let mut by_age = self.by_age.borrow_mut();
-        let mut seen = self.seen.borrow_mut();
-        while let Some((came, request)) = by_age.front().copied() {
-            let is_old = now.saturating_duration_since(came) >= MEMORY;
-            if !is_old && seen.len() < CAPACITY {
+    fn evict_old(&self, now: Instant) {
+        let mut by_arrival = self.by_arrival.borrow_mut();
+        let mut records = self.records.borrow_mut();
+        while let Some((arrived, request)) = by_arrival.front().copied() {
+            let is_old = now.saturating_duration_since(arrived) >= RETENTION;
+            if !is_old && records.len() < MAX_RECORDS {
                 return;
             }
-            seen.remove(&request);
-            by_age.pop_front();
+            records.remove(&request);
+            by_arrival.pop_front();
         }
     }
 
     /// Returns how many request ids are remembered.
     pub(crate) fn len(&self) -> usize {
-        self.seen.borrow().len()
+        self.records.borrow().len()
     }
 }
 
 /// Returns what is true of the whole request after one of its attempts was refused.
 ///
 /// Nobody may hear "not run" about a request of which an earlier attempt may have run.
-fn after_refusal(answer: Answer, ran_before: bool) -> Answer {
-    if !ran_before {
+fn after_refusal(answer: Answer, had_run: bool) -> Answer {
+    if !had_run {
         return answer;
     }
     Answer {
--- a/crates/node/src/burn.rs
+++ b/crates/node/src/burn.rs
@@ -38,7 +38,7 @@
 
 impl Burn {
     /// Counts the final answer to a call.
-    pub(crate) fn note(&self, kind: &KindName, answer: &Answer) {
+    pub(crate) fn record(&self, kind: &KindName, answer: &Answer) {
         let mut kinds = self.kinds.borrow_mut();
         if !kinds.contains_key(kind) {
             kinds.insert(kind.clone(), VecDeque::new());
@@ -46,7 +46,7 @@
         let Some(steps) = kinds.get_mut(kind) else {
             return;
         };
-        let step = present_step(steps);
+        let step = current_step(steps);
         match answer.outcome {
             Outcome::Done if answer.is_success() => step.good += 1,
             Outcome::Done => step.failed += 1,
@@ -69,7 +69,7 @@
 }
 
 /// Returns the step of the present time, opened if it is new.
-fn present_step(steps: &mut VecDeque<Step>) -> &mut Step {
+fn current_step(steps: &mut VecDeque<Step>) -> &mut Step {
     let millis = Period::as_millis(Period(STEP));
     let at = Timestamp(Timestamp::now().0 / millis * millis);
     if steps.back().is_none_or(|last| last.at < at) {
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns the answer with the time to come back.
-    pub(crate) fn come_back(mut self, after: Duration) -> Self {
+    pub(crate) fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = after;
         self
     }
@@ -117,7 +117,7 @@
     }
 
     /// Returns the pressure that the call met; one that was refused for overload met too much.
-    pub(crate) fn met_pressure(&self) -> Pressure {
+    pub(crate) fn observed_pressure(&self) -> Pressure {
         if is_overload(self.reason) {
             self.path_pressure.max(Pressure::OVERLOADED)
         } else {
--- a/crates/node/src/configuration/accept.rs
+++ b/crates/node/src/configuration/accept.rs
@@ -15,7 +15,7 @@
 use crate::platform::{Platform, PlatformError, Precondition, Row, Written};
 
 /// The most changes kept in the history.
-const HISTORY: usize = 64;
+const MAX_HISTORY: usize = 64;
 /// How often an unanswered write is looked for before the outcome is called unknown.
 const RESOLVE_ATTEMPTS: u32 = 3;
 /// The summary of a change that only keeps an earlier write from taking effect.
@@ -57,18 +57,20 @@
 
 impl Acceptor {
     /// Tries to get a change accepted and says what became of it.
-    pub(crate) async fn accept(&self, decision: Proposal) -> Acceptance {
-        let base = decision.base;
-        let text = self.content_with(&decision);
+    pub(crate) async fn accept(&self, proposal: Proposal) -> Acceptance {
+        let base = proposal.base;
+        let value = self.content_with(&proposal);
         let expect = match base.0 {
             0 => Precondition::Absent,
             version => Precondition::Version(version),
         };
-        match self.platform.write(CONFIG_KEY, expect, text).await {
-            Ok(Written::Done(row)) => self.accepted(&decision, &row),
-            Ok(Written::Conflict(row)) => self.lost(&decision.command, &decision.operator, &row),
+        match self.platform.write(CONFIG_KEY, expect, value).await {
+            Ok(Written::Done(row)) => self.record_acceptance(&proposal, &row),
+            Ok(Written::Conflict(row)) => {
+                self.outcome_of(&proposal.command, &proposal.operator, &row)
+            }
             Err(PlatformError::Unanswered | PlatformError::Malformed) => {
-                self.resolve(&decision.command, &decision.operator, base)
+                self.resolve(&proposal.command, &proposal.operator, base)
                     .await
             }
             Err(error) => Acceptance::Refused(error),
@@ -88,7 +90,7 @@
             };
             match row {
                 Some(row) if row.version > base.0 => {
-                    return self.lost(command, operator, &row);
+                    return self.outcome_of(command, operator, &row);
                 }
                 row => self.fence(operator, row.as_ref()).await,
             }
@@ -101,7 +103,7 @@
         let content = row.and_then(|row| serde_json::from_str(&row.value).ok());
         let mut content: Content = content.unwrap_or_default();
         let version = row.map_or(0, |row| row.version);
-        push(
+        append_change(
             &mut content,
             Change {
                 command: format!("{FENCE}-{version}"),
@@ -122,46 +124,46 @@
             .await;
     }
 
-    fn content_with(&self, decision: &Proposal) -> String {
+    fn content_with(&self, proposal: &Proposal) -> String {
         let mut content = self.configuration.current().content.clone();
-        content.declaration = decision.declaration.to_string();
-        push(
+        content.declaration = proposal.declaration.to_string();
+        append_change(
             &mut content,
             Change {
-                command: decision.command.clone(),
-                operator: decision.operator.clone(),
-                version: ConfigVersion(decision.base.0 + 1),
+                command: proposal.command.clone(),
+                operator: proposal.operator.clone(),
+                version: ConfigVersion(proposal.base.0 + 1),
                 at: Timestamp::now(),
-                summary: decision.summary.clone(),
+                summary: proposal.summary.clone(),
             },
         );
         encode(&content)
     }
 
-    fn accepted(&self, decision: &Proposal, row: &Row) -> Acceptance {
+    fn record_acceptance(&self, proposal: &Proposal, row: &Row) -> Acceptance {
         let version = ConfigVersion(row.version);
         emit(
             &catalogue::CONFIG_ACCEPTED,
             &[
                 ("version", &version),
-                ("operator", &decision.operator),
-                ("command", &decision.command),
+                ("operator", &proposal.operator),
+                ("command", &proposal.command),
             ],
         );
-        self.put_into_force(row, Source::Operator);
+        self.activate(row, Source::Operator);
         Acceptance::Accepted(version)
     }
 
     /// Returns the outcome of a command whose version is not the one that it wrote itself.
-    fn lost(&self, command: &str, operator: &OperatorName, row: &Row) -> Acceptance {
-        self.put_into_force(row, Source::Platform);
+    fn outcome_of(&self, command: &str, operator: &OperatorName, row: &Row) -> Acceptance {
+        self.activate(row, Source::Platform);
         let content: Content = serde_json::from_str(&row.value).unwrap_or_default();
-        let own = content
+        let own_change = content
             .history
             .iter()
             .find(|change| change.command == command);
-        if let Some(own) = own {
-            return Acceptance::Accepted(own.version);
+        if let Some(own_change) = own_change {
+            return Acceptance::Accepted(own_change.version);
         }
         let winner = content.history.last().cloned();
         let name = winner
@@ -179,16 +181,16 @@
         Acceptance::Conflict(winner, version)
     }
 
-    fn put_into_force(&self, row: &Row, source: Source) {
+    fn activate(&self, row: &Row, source: Source) {
         let version = ConfigVersion(row.version);
         // A configuration that cannot be read is logged where it is refused.
-        let _ = self.configuration.raise(version, &row.value, source);
+        let _ = self.configuration.advance(version, &row.value, source);
     }
 }
 
-fn push(content: &mut Content, change: Change) {
+fn append_change(content: &mut Content, change: Change) {
     content.history.push(change);
-    let surplus = content.history.len().saturating_sub(HISTORY);
+    let surplus = content.history.len().saturating_sub(MAX_HISTORY);
     content.history.drain(..surplus);
 }
 
--- a/crates/node/src/configuration/fetch.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -15,7 +15,7 @@
 use crate::platform::Platform;
 
 /// The first readings are this far apart, so that a new node serves soon.
-const FIRST_POLL: Duration = Duration::from_millis(200);
+const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Brings newer versions to this node and tells others about them.
 pub(crate) struct Fetcher {
@@ -32,37 +32,40 @@
         loop {
             let version = self.configuration.version();
             if let Ok(Some(row)) = self.platform.read_newer(CONFIG_KEY, version.0).await {
-                self.take(ConfigVersion(row.version), &row.value, Source::Platform)
+                self.apply(ConfigVersion(row.version), &row.value, Source::Platform)
                     .await;
             }
-            sleep(self.pause()).await;
+            sleep(self.poll_interval()).await;
         }
     }
 
     /// Fetches the versions that peers are heard to have, for as long as the task lives.
-    pub(crate) async fn fetch(self: Rc<Self>, mut heard: mpsc::Receiver<(ConfigVersion, Peer)>) {
-        while let Some((version, peer)) = heard.next().await {
+    pub(crate) async fn fetch(
+        self: Rc<Self>,
+        mut newer_versions: mpsc::Receiver<(ConfigVersion, Peer)>,
+    ) {
+        while let Some((version, peer)) = newer_versions.next().await {
             let own = self.configuration.version();
             if version <= own {
                 continue;
             }
             if let Some(config) = self.peers.fetch(&peer, own).await {
-                self.take(ConfigVersion(config.version), &config.text, Source::Peer)
+                self.apply(ConfigVersion(config.version), &config.text, Source::Peer)
                     .await;
             }
         }
     }
 
-    async fn take(&self, version: ConfigVersion, text: &str, source: Source) {
-        if let Ok(true) = self.configuration.raise(version, text, source) {
+    async fn apply(&self, version: ConfigVersion, text: &str, source: Source) {
+        if let Ok(true) = self.configuration.advance(version, text, source) {
             self.gossip.spread().await;
         }
     }
 
     /// Returns the time to the next reading, spread so that nodes do not read together.
-    fn pause(&self) -> Duration {
+    fn poll_interval(&self) -> Duration {
         if self.configuration.version() == ConfigVersion::default() {
-            return FIRST_POLL;
+            return INITIAL_POLL_INTERVAL;
         }
         self.poll.mul_f64(rand::rng().random_range(0.8..1.0))
     }
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -67,13 +67,13 @@
 }
 
 /// Calls itself whenever a version has been put into force.
-type Listener = Box<dyn Fn(&Version)>;
+type Callback = Box<dyn Fn(&Version)>;
 
 /// The configuration in force on this node.
 pub(crate) struct Configuration {
     current: RefCell<Rc<Version>>,
-    heard: RefCell<Option<mpsc::Sender<(ConfigVersion, Peer)>>>,
-    listeners: RefCell<Vec<Listener>>,
+    newer_versions: RefCell<Option<mpsc::Sender<(ConfigVersion, Peer)>>>,
+    callbacks: RefCell<Vec<Callback>>,
 }
 
 impl Service for Configuration {
@@ -84,8 +84,8 @@
     pub(crate) fn new() -> Self {
         Self {
             current: RefCell::default(),
-            heard: RefCell::default(),
-            listeners: RefCell::default(),
+            newer_versions: RefCell::default(),
+            callbacks: RefCell::default(),
         }
     }
 
@@ -100,25 +100,25 @@
     }
 
     /// Calls `listener` for every version that is put into force from now on.
-    pub(crate) fn listen(&self, listener: impl Fn(&Version) + 'static) {
-        self.listeners.borrow_mut().push(Box::new(listener));
+    pub(crate) fn on_change(&self, callback: impl Fn(&Version) + 'static) {
+        self.callbacks.borrow_mut().push(Box::new(callback));
     }
 
     /// Sends what is heard of newer versions to `receiver`.
-    pub(crate) fn report_to(&self, receiver: mpsc::Sender<(ConfigVersion, Peer)>) {
-        *self.heard.borrow_mut() = Some(receiver);
+    pub(crate) fn send_newer_to(&self, receiver: mpsc::Sender<(ConfigVersion, Peer)>) {
+        *self.newer_versions.borrow_mut() = Some(receiver);
     }
 
     /// Notes that `peer` has a newer version.
-    pub(crate) fn hear_of(&self, version: ConfigVersion, peer: &Peer) {
-        if let Some(heard) = self.heard.borrow_mut().as_mut() {
+    pub(crate) fn report_newer(&self, version: ConfigVersion, peer: &Peer) {
+        if let Some(newer_versions) = self.newer_versions.borrow_mut().as_mut() {
             // A full channel means that a fetch is under way already.
-            let _ = heard.try_send((version, peer.clone()));
+            let _ = newer_versions.try_send((version, peer.clone()));
         }
     }
 
     /// Puts a version into force if it is higher than the present one; returns true if it was.
-    pub(crate) fn raise(
+    pub(crate) fn advance(
         &self,
         number: ConfigVersion,
         text: &str,
@@ -127,7 +127,7 @@
         if number <= self.version() {
             return Ok(false);
         }
-        let version = read(number, text).inspect_err(|error| {
+        let version = parse(number, text).inspect_err(|error| {
             emit(
                 &catalogue::CONFIG_REFUSED,
                 &[("version", &number), ("reason", error)],
@@ -139,14 +139,14 @@
             &[("version", &number), ("source", &source)],
         );
         let current = self.current();
-        for listener in self.listeners.borrow().iter() {
-            listener(&current);
+        for callback in self.callbacks.borrow().iter() {
+            callback(&current);
         }
         Ok(true)
     }
 }
 
-fn read(number: ConfigVersion, text: &str) -> Result<Version, ContentError> {
+fn parse(number: ConfigVersion, text: &str) -> Result<Version, ContentError> {
     let content: Content = serde_json::from_str(text).map_err(|_| ContentError::Damaged)?;
     let name = format!("configuration version {number}");
     let declaration =
--- a/crates/node/src/configuration/tests.rs
+++ b/crates/node/src/configuration/tests.rs
@@ -15,23 +15,23 @@
 #[test]
 fn never_back() {
     let configuration = Configuration::new();
-    let raise = |version, limit| {
+    let advance = |version, limit| {
         configuration
-            .raise(ConfigVersion(version), &content(limit), Source::Peer)
+            .advance(ConfigVersion(version), &content(limit), Source::Peer)
             .expect("it is sound")
     };
-    assert!(raise(3, 30));
-    assert!(!raise(2, 20));
-    assert!(!raise(3, 31));
+    assert!(advance(3, 30));
+    assert!(!advance(2, 20));
+    assert!(!advance(3, 31));
     assert_eq!(configuration.version(), ConfigVersion(3));
     assert!(configuration.current().content.declaration.contains("30"));
-    assert!(raise(4, 40));
+    assert!(advance(4, 40));
 }
 
 #[test]
 fn unreadable_is_refused() {
     let configuration = Configuration::new();
-    let raised = configuration.raise(ConfigVersion(1), "not json", Source::Peer);
-    assert!(raised.is_err());
+    let advanced = configuration.advance(ConfigVersion(1), "not json", Source::Peer);
+    assert!(advanced.is_err());
     assert_eq!(configuration.version(), ConfigVersion(0));
 }
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -37,7 +37,7 @@
     /// The greatest pressure that a call made for it met.
     pub(crate) pressure: Cell<Pressure>,
     outside: RefCell<SubcallTime>,
-    calls_made: Cell<u32>,
+    call_count: Cell<u32>,
     /// The calls made that failed; the same call made again is a retry.
     failed: RefCell<HashSet<SubcallKey>>,
     /// The non-idempotent calls made, whose answers are kept.
@@ -54,7 +54,7 @@
 
 impl Context {
     /// Notes that a call is made; the time until the guard is dropped is not the upstream's own.
-    pub(crate) fn step_outside(self: &Rc<Self>) -> SubcallGuard {
+    pub(crate) fn begin_subcall(self: &Rc<Self>) -> SubcallGuard {
         let mut outside = self.outside.borrow_mut();
         if outside.open == 0 {
             outside.since = Some(Instant::now());
@@ -64,7 +64,7 @@
     }
 
     /// Returns the time spent in calls made for the execution.
-    pub(crate) fn time_outside(&self) -> Duration {
+    pub(crate) fn subcall_time(&self) -> Duration {
         let outside = self.outside.borrow();
         let running = outside
             .since
@@ -74,24 +74,24 @@
 
     /// Returns true if the upstream has made no calls for the execution.
     pub(crate) fn made_no_calls(&self) -> bool {
-        self.calls_made.get() == 0
+        self.call_count.get() == 0
     }
 
     /// Notes what the answer to a call says about the services further down.
-    pub(crate) fn note_answer(&self, answer: &Answer) {
+    pub(crate) fn record_answer(&self, answer: &Answer) {
         self.level.set(self.level.get().max(answer.level));
-        let met = self.pressure.get().max(answer.met_pressure());
-        self.pressure.set(met);
+        let pressure = self.pressure.get().max(answer.observed_pressure());
+        self.pressure.set(pressure);
     }
 
     /// Notes that a call is made; returns false if it is a retry and none is left.
-    pub(crate) fn may_call(&self, key: &SubcallKey) -> bool {
-        self.calls_made.set(self.calls_made.get() + 1);
+    pub(crate) fn register_call(&self, key: &SubcallKey) -> bool {
+        self.call_count.set(self.call_count.get() + 1);
         !self.failed.borrow().contains(key) || self.budget.spend()
     }
 
     /// Notes that a call failed.
-    pub(crate) fn note_failed(&self, key: SubcallKey) {
+    pub(crate) fn record_failed_call(&self, key: SubcallKey) {
         self.failed.borrow_mut().insert(key);
     }
 }
@@ -135,7 +135,7 @@
             level: Cell::new(Rank::LOWEST),
             pressure: Cell::default(),
             outside: RefCell::default(),
-            calls_made: Cell::new(0),
+            call_count: Cell::new(0),
             failed: RefCell::default(),
             once: RefCell::default(),
         });
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -26,9 +26,9 @@
 /// How often a call that did not run is brought elsewhere.
 const MAX_REDIRECTS: u32 = 2;
 /// How often the home of a ticket is asked again after a lost answer.
-const MAX_ASKED_AGAIN: u32 = 3;
+const MAX_HOME_RETRIES: u32 = 3;
 /// The pause before the home of a ticket is asked again.
-const ASK_AGAIN_PAUSE: Duration = Duration::from_millis(20);
+const HOME_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How often the fixed policy retries a call.
 const FIXED_RETRIES: u32 = 2;
 
@@ -66,30 +66,30 @@
 /// Once an attempt may have run, no later refusal can say that the call did not.
 #[derive(Default)]
 struct Attempts {
-    ran: Option<Answer>,
+    ambiguous: Option<Answer>,
     refused: Option<Answer>,
 }
 
 impl Attempts {
-    fn note(&mut self, answer: Answer) {
+    fn record(&mut self, answer: Answer) {
         if may_have_run(&answer) {
-            self.ran = Some(answer);
+            self.ambiguous = Some(answer);
         } else {
             self.refused = Some(answer);
         }
     }
 
     /// Returns what is true of the call when this is the answer to its last attempt.
-    fn or_answer(self, answer: Answer) -> Answer {
-        match self.ran {
-            Some(ran) if !may_have_run(&answer) => ran,
+    fn or_final(self, answer: Answer) -> Answer {
+        match self.ambiguous {
+            Some(ambiguous) if !may_have_run(&answer) => ambiguous,
             _ => answer,
         }
     }
 
     /// Returns what is true of the call when there is nobody left to try.
-    fn or_refusal(self, refusal: impl FnOnce() -> Answer) -> Answer {
-        self.ran.or(self.refused).unwrap_or_else(refusal)
+    fn or_no_target(self, refusal: impl FnOnce() -> Answer) -> Answer {
+        self.ambiguous.or(self.refused).unwrap_or_else(refusal)
     }
 }
 
@@ -98,70 +98,67 @@
     pub(crate) async fn dispatch(&self, call: Call, budget: &Budget) -> Answer {
         let answer = match (self.policy, call.repeat, &call.ticket) {
             (Policy::Forward, ..) => self.forward(&call, budget).await,
-            (Policy::Fixed, ..) => self.fixed(&call, budget).await,
+            (Policy::Fixed, ..) => self.dispatch_fixed(&call, budget).await,
             (Policy::Adaptive, Repeat::Never, Some(ticket)) => {
-                self.at_home(&call, ticket, budget, false).await
+                self.call_home(&call, ticket, budget, false).await
+            }
+            (Policy::Adaptive, Repeat::Never, None) => {
+                self.dispatch_at_most_once(&call, budget).await
             }
-            (Policy::Adaptive, Repeat::Never, None) => self.at_most_once(&call, budget).await,
             (Policy::Adaptive, Repeat::Retry | Repeat::Once, _) => {
-                self.repeatable(&call, budget).await
+                self.dispatch_repeatable(&call, budget).await
             }
         };
-        self.metrics.note_dispatched(&call, &answer);
-        self.burn.note(&call.kind, &answer);
+        self.metrics.record_dispatched(&call, &answer);
+        self.burn.record(&call.kind, &answer);
         answer
     }
 
     /// Brings a call that has no ticket and may run several times, within its allowance.
-    async fn repeatable(&self, call: &Call, budget: &Budget) -> Answer {
+    async fn dispatch_repeatable(&self, call: &Call, budget: &Budget) -> Answer {
         let mut tried: Vec<NodeName> = Vec::new();
         let mut redirects = 0;
-        let mut last = Attempts::default();
+        let mut attempts = Attempts::default();
         loop {
             let target = match self.routing.choose(call, &tried) {
                 Ok(target) => target,
-                Err(none) => return last.or_refusal(|| self.refuse(none)),
+                Err(none) => return attempts.or_no_target(|| self.refuse(none)),
             };
             let answer = self.attempt(call, &target, budget).await;
             if answer.is_success() {
-                self.retry_limiter.note_success(&call.service);
+                self.retry_limiter.record_success(&call.service);
                 return answer;
             }
-            match self.after_failure(call, &answer, budget, redirects) {
-                Action::Stop => return last.or_answer(answer),
+            match self.next_action(call, &answer, budget, redirects) {
+                Action::Stop => return attempts.or_final(answer),
                 Action::Redirect => {
                     redirects += 1;
                     tried.push(self.name_of(&target));
                 }
                 Action::Retry => {}
             }
-            last.note(answer);
+            attempts.record(answer);
         }
     }
 
-    fn after_failure(
-        &self,
-        call: &Call,
-        answer: &Answer,
-        budget: &Budget,
-        redirects: u32,
-    ) -> Action {
+    fn next_action(&self, call: &Call, answer: &Answer, budget: &Budget, redirects: u32) -> Action {
         if call.time_left().is_zero() {
             return Action::Stop;
         }
         if !may_have_run(answer) {
-            let bounded = redirects < MAX_REDIRECTS;
-            let free = !is_overload(answer.reason) || self.retry_limiter.take(&call.service);
-            return if bounded && free {
+            let within_limit = redirects < MAX_REDIRECTS;
+            let within_ratio =
+                !is_overload(answer.reason) || self.retry_limiter.try_acquire(&call.service);
+            return if within_limit && within_ratio {
                 Action::Redirect
             } else {
                 Action::Stop
             };
         }
         let overloaded_below = answer.level > call.rank;
-        let may_repeat = call.repeat == Repeat::Retry && !overloaded_below;
-        if may_repeat && self.retry_limiter.take(&call.service) && budget.spend() {
-            self.metrics.note_retry();
+        let may_retry = call.repeat == Repeat::Retry && !overloaded_below;
+        if may_retry && self.retry_limiter.try_acquire(&call.service) && budget.spend() {
+            self.metrics.record_retry();
             return Action::Retry;
         }
         Action::Stop
@@ -170,41 +167,47 @@
     /// Brings a non-idempotent call that this node makes tickets for itself.
     ///
     /// A refusal by a home closes its ticket, so another home may get a new one.
-    async fn at_most_once(&self, call: &Call, budget: &Budget) -> Answer {
+    async fn dispatch_at_most_once(&self, call: &Call, budget: &Budget) -> Answer {
         let mut tried: Vec<NodeName> = Vec::new();
-        let mut last: Option<Answer> = None;
+        let mut last_answer: Option<Answer> = None;
         for _ in 0..=MAX_REDIRECTS {
             let target = match self.routing.choose(call, &tried) {
                 Ok(target) => target,
-                Err(none) => return last.unwrap_or_else(|| self.refuse(none)),
+                Err(none) => return last_answer.unwrap_or_else(|| self.refuse(none)),
             };
             let ticket = self.mint_for(&target);
             let ticketed = Call {
                 ticket: Some(ticket.clone()),
                 ..call.clone()
             };
-            let answer = self.at_home(&ticketed, &ticket, budget, true).await;
+            let answer = self.call_home(&ticketed, &ticket, budget, true).await;
             let retry = !may_have_run(&answer)
-                && (!is_overload(answer.reason) || self.retry_limiter.take(&call.service));
+                && (!is_overload(answer.reason) || self.retry_limiter.try_acquire(&call.service));
             if !retry {
                 if answer.is_success() {
-                    self.retry_limiter.note_success(&call.service);
+                    self.retry_limiter.record_success(&call.service);
                 }
                 return answer;
             }
             tried.push(self.name_of(&target));
-            last = Some(answer);
+            last_answer = Some(answer);
         }
-        last.unwrap_or_else(|| self.refuse(NoTarget::Nobody))
+        last_answer.unwrap_or_else(|| self.refuse(NoTarget::Unreachable))
     }
 
     /// Brings a call to the home of its ticket, and asks again if the answer is lost.
     ///
     /// `fresh` says that no other copy of the call can exist, so that a call
     /// which was never sent is known not to have run.
-    async fn at_home(&self, call: &Call, ticket: &Ticket, budget: &Budget, fresh: bool) -> Answer {
-        let mut may_be_there = !fresh;
-        for asked in 0..=MAX_ASKED_AGAIN {
+    async fn call_home(
+        &self,
+        call: &Call,
+        ticket: &Ticket,
+        budget: &Budget,
+        is_first_copy: bool,
+    ) -> Answer {
+        let mut may_have_arrived = !is_first_copy;
+        for attempt in 0..=MAX_HOME_RETRIES {
             let Some(target) = self.home_of(ticket) else {
                 break;
             };
@@ -212,35 +215,35 @@
             let unsent = answer.outcome == Outcome::NotRun && answer.reason == Reason::Connection;
             let lost = answer.outcome == Outcome::Unknown && answer.reason == Reason::Connection;
             if !unsent && !lost {
-                return self.note_outcome(call, ticket, answer);
+                return self.record_outcome(call, ticket, answer);
             }
-            if unsent && !may_be_there {
+            if unsent && !may_have_arrived {
                 return answer;
             }
-            may_be_there = true;
-            if asked < MAX_ASKED_AGAIN && !call.time_left().is_zero() {
-                sleep(ASK_AGAIN_PAUSE).await;
+            may_have_arrived = true;
+            if attempt < MAX_HOME_RETRIES && !call.time_left().is_zero() {
+                sleep(HOME_RETRY_DELAY).await;
             }
         }
-        let answer = self.ask_successors(call, ticket, budget).await;
-        self.note_outcome(call, ticket, answer)
+        let answer = self.query_successors(call, ticket, budget).await;
+        self.record_outcome(call, ticket, answer)
     }
 
     /// Asks the nodes that have the answers of the home of a ticket, if it stopped in an orderly way.
-    async fn ask_successors(&self, call: &Call, ticket: &Ticket, budget: &Budget) -> Answer {
+    async fn query_successors(&self, call: &Call, ticket: &Ticket, budget: &Budget) -> Answer {
         for successor in self.routing.successors(&call.service, ticket) {
             let answer = self.attempt(call, &successor, budget).await;
-            let knows_nothing = matches!(answer.reason, Reason::HomeGone | Reason::Connection);
-            if !knows_nothing {
+            let is_unaware = matches!(answer.reason, Reason::HomeGone | Reason::Connection);
+            if !is_unaware {
                 return answer;
             }
         }
-        self.executor.later(Answer::unknown(Reason::HomeGone))
+        self.executor.retry_later(Answer::unknown(Reason::HomeGone))
     }
 
-    fn note_outcome(&self, call: &Call, ticket: &Ticket, answer: Answer) -> Answer {
+    fn record_outcome(&self, call: &Call, ticket: &Ticket, answer: Answer) -> Answer {
         if answer.outcome == Outcome::Unknown {
-            self.unknowns.note(call, ticket, answer.reason);
+            self.unknowns.record(call, ticket, answer.reason);
         } else {
             self.unknowns.resolve(ticket);
         }
@@ -253,8 +256,8 @@
             return Some(Target::Local);
         }
         let (peer, state) = self.membership.find(&ticket.home)?;
-        let same_life = peer.incarnation == ticket.incarnation;
-        (same_life && state != State::Dead).then_some(Target::Remote(peer))
+        let same_incarnation = peer.incarnation == ticket.incarnation;
+        (same_incarnation && state != State::Dead).then_some(Target::Remote(peer))
     }
 
     fn mint_for(&self, target: &Target) -> Ticket {
@@ -266,20 +269,20 @@
 
     /// Sends a call to a target once.
     async fn attempt(&self, call: &Call, target: &Target, budget: &Budget) -> Answer {
-        let loan = budget.lend();
+        let reservation = budget.reserve();
         let call = Call {
-            allowance: loan.amount(),
+            allowance: reservation.amount(),
             ..call.clone()
         };
-        let outstanding = self.routing.begin(target);
+        let outstanding = self.routing.track(target);
         let root_kind = call.root_kind.clone();
         let answer = match target {
             Target::Local => self.executor.execute(call).await,
             Target::Remote(peer) => self.peers.call(peer, &call).await,
         };
         drop(outstanding);
-        loan.give_back(answer.used);
-        self.routing.note_answer(target, &root_kind, &answer);
+        reservation.refund(answer.used);
+        self.routing.record_answer(target, &root_kind, &answer);
         answer
     }
 
@@ -292,10 +295,10 @@
 
     fn refuse(&self, none: NoTarget) -> Answer {
         let answer = match none {
-            NoTarget::Nobody => Answer::not_run(Reason::NoUpstream),
+            NoTarget::Unreachable => Answer::not_run(Reason::NoUpstream),
             NoTarget::Overload(level) => Answer::not_run(Reason::Overload).at_level(level),
         };
-        self.executor.later(answer)
+        self.executor.retry_later(answer)
     }
 
     /// Sends a call on as it is: the first baseline.
@@ -307,10 +310,10 @@
     }
 
     /// Retries on this hop within the ratio: the second baseline.
-    async fn fixed(&self, call: &Call, budget: &Budget) -> Answer {
-        let mut last = None;
+    async fn dispatch_fixed(&self, call: &Call, budget: &Budget) -> Answer {
+        let mut last_answer = None;
         for attempt in 0..=FIXED_RETRIES {
-            if attempt > 0 && !self.retry_limiter.take(&call.service) {
+            if attempt > 0 && !self.retry_limiter.try_acquire(&call.service) {
                 break;
             }
             let target = match self.routing.choose(call, &[]) {
@@ -319,17 +322,17 @@
             };
             let answer = self.attempt(call, &target, budget).await;
             if answer.is_success() {
-                self.retry_limiter.note_success(&call.service);
+                self.retry_limiter.record_success(&call.service);
                 return answer;
             }
-            let may_repeat = call.repeat == Repeat::Retry || !may_have_run(&answer);
-            last = Some(answer);
-            if !may_repeat || call.time_left().is_zero() {
+            let may_retry = call.repeat == Repeat::Retry || !may_have_run(&answer);
+            last_answer = Some(answer);
+            if !may_retry || call.time_left().is_zero() {
                 break;
             }
             let pause = rand::rng().random_range(1..10);
             sleep(Duration::from_millis(pause)).await;
         }
-        last.unwrap_or_else(|| self.refuse(NoTarget::Nobody))
+        last_answer.unwrap_or_else(|| self.refuse(NoTarget::Unreachable))
     }
 }
--- a/crates/node/src/execute.rs
+++ b/crates/node/src/execute.rs
@@ -27,17 +27,17 @@
 /// How long past its deadline a non-idempotent call is still waited for.
 ///
 /// Its caller has had its answer by then; what comes is kept for a repeat.
-const ONCE_GRACE: Duration = Duration::from_secs(30);
+const AT_MOST_ONCE_GRACE: Duration = Duration::from_secs(30);
 /// The shortest time after which a refused caller may come back.
-const SHORTEST_RETURN_MS: u64 = 500;
+const MIN_RETRY_AFTER_MS: u64 = 500;
 
 /// What a completed call tells about the upstream.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
     /// The time that the upstream itself took.
-    own_time: Duration,
+    self_time: Duration,
     /// Whether the call found the upstream at most half full.
-    light: bool,
+    is_lightly_loaded: bool,
 }
 
 /// Runs calls in the own upstream.
@@ -53,7 +53,7 @@
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) in_flight: Rc<Cell<usize>>,
     /// When a call was last refused because the node leaves.
-    pub(crate) refused_leaving: Cell<Option<Instant>>,
+    pub(crate) last_draining_refusal: Cell<Option<Instant>>,
 }
 
 impl Service for Executor {
@@ -63,7 +63,7 @@
 impl Executor {
     /// Runs a call, or gives the answer of its ticket if that ran before.
     pub(crate) async fn execute(self: &Rc<Self>, call: Call) -> Answer {
-        let held = task::Held::new(&self.in_flight);
+        let in_flight_guard = task::Held::new(&self.in_flight);
         let answer = match call.ticket.clone() {
             Some(ticket) if self.policy == Policy::Adaptive => {
                 self.execute_once(call, ticket).await
@@ -71,14 +71,14 @@
             _ if self.policy == Policy::Adaptive => self.run(&call, call.deadline).await,
             _ => self.run_detached(call).await,
         };
-        drop(held);
+        drop(in_flight_guard);
         answer
     }
 
     /// Runs a call to its end even if the caller leaves, as the baselines do.
     async fn run_detached(self: &Rc<Self>, call: Call) -> Answer {
-        let patience = call.deadline;
-        let answer = self.start(call, patience, |_| {});
+        let wait_until = call.deadline;
+        let answer = self.start(call, wait_until, |_| {});
         answer
             .await
             .unwrap_or_else(|_| Answer::unknown(Reason::Cancelled))
@@ -88,18 +88,18 @@
     fn start(
         self: &Rc<Self>,
         call: Call,
-        patience: Instant,
-        ended: impl FnOnce(&Answer) + 'static,
+        wait_until: Instant,
+        on_end: impl FnOnce(&Answer) + 'static,
     ) -> oneshot::Receiver<Answer> {
         let (sender, receiver) = oneshot::channel();
         let executor = Rc::clone(self);
-        let held = task::Held::new(&self.in_flight);
+        let in_flight_guard = task::Held::new(&self.in_flight);
         task::spawn("execution", async move {
-            let answer = executor.run(&call, patience).await;
-            ended(&answer);
+            let answer = executor.run(&call, wait_until).await;
+            on_end(&answer);
             // The caller may have left.
             let _ = sender.send(answer);
-            drop(held);
+            drop(in_flight_guard);
         });
         receiver
     }
@@ -111,7 +111,9 @@
             Disposition::Wait(answer) => answer,
             Disposition::Closed(answer) => return answer,
             Disposition::Expired => return Answer::unknown(Reason::TicketExpired),
-            Disposition::Full => return self.later(Answer::unknown(Reason::RecordsFull)),
+            Disposition::Full => {
+                return self.retry_later(Answer::unknown(Reason::RecordsFull));
+            }
             Disposition::Foreign => return Answer::unknown(Reason::HomeGone),
         };
         match timeout_at(deadline, answer).await {
@@ -123,81 +125,88 @@
 
     /// Runs a call whose answer is kept, so a caller that has left finds it by its ticket.
     fn start_once(self: &Rc<Self>, call: Call, ticket: &Ticket) -> oneshot::Receiver<Answer> {
-        let closing = CloseGuard::new(&self.tickets, ticket);
-        let patience = call.deadline + ONCE_GRACE;
-        self.start(call, patience, |answer| closing.close(answer))
+        let close_guard = CloseGuard::new(&self.tickets, ticket);
+        let wait_until = call.deadline + AT_MOST_ONCE_GRACE;
+        self.start(call, wait_until, |answer| close_guard.close(answer))
     }
 
-    async fn run(self: &Rc<Self>, call: &Call, patience: Instant) -> Answer {
+    async fn run(self: &Rc<Self>, call: &Call, wait_until: Instant) -> Answer {
         let arrived = Instant::now();
         if let Some(refusal) = self.refusal(arrived) {
             return refusal;
         }
-        if self.is_lost_below(call, arrived) {
+        if self.is_shed_downstream(call, arrived) {
             return self.shed(call, Reason::Overload);
         }
-        let window = match self.window(call) {
-            Ok(window) => window,
+        let window_permit = match self.window_permit(call) {
+            Ok(window_permit) => window_permit,
             Err(reason) => return self.shed(call, reason),
         };
-        let entered = self
+        let admitted = self
             .admission
             .enter(call.rank, call.depth > 0, call.time_left())
             .await;
-        let permit = match entered {
+        let permit = match admitted {
             Ok(permit) => permit,
             Err(reason) => return self.shed(call, reason),
         };
-        let entry = self.contexts.open(call);
-        let light = self.admission.is_lightly_loaded(arrived);
-        let handed_over = Instant::now();
+        let registration = self.contexts.open(call);
+        let is_lightly_loaded = self.admission.is_lightly_loaded(arrived);
+        let sent_at = Instant::now();
         let result = self
             .upstream
-            .exchange(message(call, &entry), patience)
+            .exchange(upstream_request(call, &registration), wait_until)
             .await;
-        let spent = handed_over.elapsed();
-        let own_time = spent.saturating_sub(entry.context.time_outside());
+        let spent = sent_at.elapsed();
+        let self_time = spent.saturating_sub(registration.context.subcall_time());
         drop(permit);
         let answer = match result {
             None => Answer::not_run(Reason::NoUpstream),
-            Some(Ok(response)) => {
-                self.take_response(call, &entry, response, Sample { own_time, light })
-            }
-            Some(Err(error)) => self.take_error(&error),
+            Some(Ok(response)) => self.handle_response(
+                call,
+                &registration,
+                response,
+                Sample {
+                    self_time,
+                    is_lightly_loaded,
+                },
+            ),
+            Some(Err(error)) => self.handle_error(&error),
         };
         self.metrics
-            .note_added_time(arrived.elapsed().saturating_sub(spent));
-        self.metrics.note_upstream_time(&call.kind, spent);
-        self.metrics.note_served(call, &answer);
+            .record_added_time(arrived.elapsed().saturating_sub(spent));
+        self.metrics.record_upstream_time(&call.kind, spent);
+        self.metrics.record_served(call, &answer);
         let now = Instant::now();
-        let below = entry.context.level.get();
-        self.downstream.note(now, &call.root_kind, below);
-        let level = below.max(self.admission.level(now));
-        if let Some(window) = window {
-            window.record(now, entry.context.pressure.get());
+        let downstream_level = registration.context.level.get();
+        self.downstream
+            .record(now, &call.root_kind, downstream_level);
+        let level = downstream_level.max(self.admission.level(now));
+        if let Some(window_permit) = window_permit {
+            window_permit.record(now, registration.context.pressure.get());
         }
         let pressure = self.admission.pressure(now, call.rank.importance());
         Answer {
-            used: entry.context.budget.used(),
+            used: registration.context.budget.used(),
             pressure,
-            path_pressure: entry.context.pressure.get().max(pressure),
+            path_pressure: registration.context.pressure.get().max(pressure),
             ..answer.at_level(level)
         }
     }
 
     /// Returns the place of a root request in the window of its kind.
-    fn window(&self, call: &Call) -> Result<Option<WindowPermit>, Reason> {
+    fn window_permit(&self, call: &Call) -> Result<Option<WindowPermit>, Reason> {
         if call.depth > 0 || self.policy != Policy::Adaptive {
             return Ok(None);
         }
         match self.windows.acquire(&call.root_kind, Instant::now()) {
-            Some(place) => Ok(Some(place)),
+            Some(permit) => Ok(Some(permit)),
             None => Err(Reason::Overload),
         }
     }
 
     /// Returns true if a service further down would refuse the request, so that work is wasted.
-    fn is_lost_below(&self, call: &Call, now: Instant) -> bool {
+    fn is_shed_downstream(&self, call: &Call, now: Instant) -> bool {
         self.policy == Policy::Adaptive && self.downstream.level(now, &call.root_kind) > call.rank
     }
 
@@ -206,59 +215,62 @@
         let reason = match self.phase.get() {
             Phase::Joining => Reason::NotConfigured,
             Phase::Draining | Phase::Stopped => {
-                self.refused_leaving.set(Some(now));
+                self.last_draining_refusal.set(Some(now));
                 Reason::Draining
             }
             Phase::Serving if self.upstream.is_ready(now) => return None,
             Phase::Serving => Reason::NoUpstream,
         };
-        Some(self.later(Answer::not_run(reason)))
+        Some(self.retry_later(Answer::not_run(reason)))
     }
 
     /// Returns true if no call had to be refused for `time` because the node leaves.
-    pub(crate) fn is_quiet(&self, now: Instant, time: Duration) -> bool {
-        let refused = self.refused_leaving.get();
-        refused.is_none_or(|refused| now.saturating_duration_since(refused) >= time)
+    pub(crate) fn has_been_quiet(&self, now: Instant, time: Duration) -> bool {
+        let last_refusal = self.last_draining_refusal.get();
+        last_refusal.is_none_or(|last_refusal| now.saturating_duration_since(last_refusal) >= time)
     }
 
     fn shed(&self, call: &Call, reason: Reason) -> Answer {
-        self.metrics.note_shed(call, reason);
+        self.metrics.record_shed(call, reason);
         let now = Instant::now();
-        let below = self.downstream.level(now, &call.root_kind);
-        let level = below.max(self.admission.level(now));
+        let downstream_level = self.downstream.level(now, &call.root_kind);
+        let level = downstream_level.max(self.admission.level(now));
         let pressure = self.admission.pressure(now, call.rank.importance());
         Answer {
             pressure,
             path_pressure: pressure,
-            ..self.later(Answer::not_run(reason)).at_level(level)
+            ..self.retry_later(Answer::not_run(reason)).at_level(level)
         }
     }
 
     /// Returns the answer with a time to come back, spread so that returns do not surge.
-    pub(crate) fn later(&self, answer: Answer) -> Answer {
+    pub(crate) fn retry_later(&self, answer: Answer) -> Answer {
         let spread = self.admission.retry_spread(Instant::now());
         let spread = u64::try_from(spread.as_millis()).unwrap_or(u64::MAX);
-        let millis = SHORTEST_RETURN_MS + rand::rng().random_range(0..=spread);
-        answer.come_back(Duration::from_millis(millis))
+        let millis = MIN_RETRY_AFTER_MS + rand::rng().random_range(0..=spread);
+        answer.with_retry_after(Duration::from_millis(millis))
     }
 
-    fn take_response(
+    fn handle_response(
         &self,
         call: &Call,
-        entry: &Registration,
+        registration: &Registration,
         response: Response,
         sample: Sample,
     ) -> Answer {
         let now = Instant::now();
-        let says_not_run = response.status == StatusCode::SERVICE_UNAVAILABLE
+        let was_shed_by_upstream = response.status == StatusCode::SERVICE_UNAVAILABLE
             && response.header(header::OUTCOME) == Some("not-run");
-        if says_not_run && entry.context.made_no_calls() {
+        if was_shed_by_upstream && registration.context.made_no_calls() {
             self.admission.record_shed(now);
-            return self.later(Answer::not_run(Reason::UpstreamShed));
+            return self.retry_later(Answer::not_run(Reason::UpstreamShed));
         }
-        let Sample { own_time, light } = sample;
+        let Sample {
+            self_time,
+            is_lightly_loaded,
+        } = sample;
         self.admission
-            .record_completion(now, &call.kind, own_time, light);
+            .record_completion(now, &call.kind, self_time, is_lightly_loaded);
         let content_type = response
             .header("content-type")
             .unwrap_or_default()
@@ -266,11 +278,11 @@
         Answer::done(response.status.as_u16(), content_type, response.body)
     }
 
-    fn take_error(&self, error: &ExchangeError) -> Answer {
+    fn handle_error(&self, error: &ExchangeError) -> Answer {
         match error {
             ExchangeError::Connect(_) => {
-                self.upstream.note_unreachable();
-                self.later(Answer::not_run(Reason::NoUpstream))
+                self.upstream.mark_unreachable();
+                self.retry_later(Answer::not_run(Reason::NoUpstream))
             }
             ExchangeError::LateBeforeSending => Answer::not_run(Reason::Deadline),
             ExchangeError::Late => Answer::unknown(Reason::Deadline),
@@ -280,10 +292,10 @@
     }
 }
 
-fn message(call: &Call, entry: &Registration) -> Request {
+fn upstream_request(call: &Call, registration: &Registration) -> Request {
     let time_left = call.time_left().as_millis().to_string();
     let mut request = Request::new(call.method.clone(), call.path.clone(), call.body.clone())
-        .with(header::CONTEXT, &entry.token())
+        .with(header::CONTEXT, &registration.token())
         .with(header::REQUEST, &call.request.to_string())
         .with(header::KIND, call.kind.as_str())
         .with(header::TIMEOUT, &time_left);
--- a/crates/node/src/membership/digest.rs
+++ b/crates/node/src/membership/digest.rs
@@ -10,15 +10,29 @@
     ///
     /// The dead are left out, since nodes forget them at different times.
     pub(crate) fn digest(&self) -> u64 {
-        let known = self.known.borrow();
-        let present = known.values().filter(|known| known.state != State::Dead);
-        let others = present.map(|known| {
-            let identity = (known.peer.incarnation.0, known.revision, known.state as i32);
-            entry(known.peer.name.as_str(), identity)
+        let records = self.records.borrow();
+        let present = records
+            .values()
+            .filter(|record| record.state != State::Dead);
+        let others = present.map(|record| {
+            let identity = (
+                record.peer.incarnation.0,
+                record.revision,
+                record.state as i32,
+            );
+            entry(record.peer.name.as_str(), identity)
         });
         let others = others.fold(0, |digest, entry| digest ^ entry);
-        let me: &Member = &self.me.borrow();
-        others ^ entry(&me.node, (me.incarnation, me.revision, me.state))
+        let local_member: &Member = &self.local_member.borrow();
+        others
+            ^ entry(
+                &local_member.node,
+                (
+                    local_member.incarnation,
+                    local_member.revision,
+                    local_member.state,
+                ),
+            )
     }
 }
 
--- a/crates/node/src/membership/gossip.rs
+++ b/crates/node/src/membership/gossip.rs
@@ -21,9 +21,9 @@
 /// How many members are told at once about a new configuration or a leaving node.
 const FAN_OUT: usize = 4;
 /// A probe for somebody else is forgotten after this many further datagrams.
-const RELAYED_MEMORY: u64 = 1000;
+const RELAY_RETENTION: u64 = 1000;
 /// A member that is behind is told so at most this often.
-const NUDGE_PAUSE: Duration = Duration::from_millis(200);
+const STALE_NOTICE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The exchange of datagrams with other nodes.
 pub(crate) struct Gossip {
@@ -34,8 +34,8 @@
     socket: UdpSocket,
     sequence: Cell<u64>,
     pub(crate) pending: RefCell<HashMap<u64, oneshot::Sender<()>>>,
-    relayed: RefCell<HashMap<u64, (SocketAddr, u64)>>,
-    nudged: RefCell<HashMap<NodeName, Instant>>,
+    relays: RefCell<HashMap<u64, (SocketAddr, u64)>>,
+    last_notices: RefCell<HashMap<NodeName, Instant>>,
     versions: RefCell<HashMap<NodeName, ConfigVersion>>,
 }
 
@@ -59,8 +59,8 @@
             socket,
             sequence: Cell::new(0),
             pending: RefCell::default(),
-            relayed: RefCell::default(),
-            nudged: RefCell::default(),
+            relays: RefCell::default(),
+            last_notices: RefCell::default(),
             versions: RefCell::default(),
         }
     }
@@ -74,15 +74,15 @@
             let Ok((length, _)) = result else {
                 continue;
             };
-            self.metrics.note_control_received(length);
+            self.metrics.record_control_received(length);
             if let Ok(datagram) = decode_datagram(&buffer[..length]) {
-                self.take(datagram).await;
+                self.handle_datagram(datagram).await;
             }
             buffer.resize(MAX_DATAGRAM, 0);
         }
     }
 
-    async fn take(&self, datagram: Datagram) {
+    async fn handle_datagram(&self, datagram: Datagram) {
         let now = Instant::now();
         let Some(sender) = &datagram.sender else {
             return;
@@ -90,13 +90,13 @@
         let Ok(peer) = Peer::try_from(sender) else {
             return;
         };
-        let mut news = self.membership.merge(sender, now);
+        let mut changed = self.membership.merge(sender, now);
         for member in &datagram.members {
-            news |= self.membership.merge(member, now);
+            changed |= self.membership.merge(member, now);
         }
         let differs = datagram.digest != self.membership.digest();
         if !differs {
-            self.membership.note_agreed();
+            self.membership.mark_converged();
         }
         self.compare_version(&peer, ConfigVersion(datagram.config_version))
             .await;
@@ -104,15 +104,15 @@
             Purpose::Ping => {
                 self.send(Purpose::Ack, datagram.sequence, &peer, differs)
                     .await;
-                if news {
+                if changed {
                     self.spread().await;
                 }
             }
             Purpose::Ack => {
-                self.take_ack(datagram.sequence, differs).await;
-                if news && differs {
+                self.handle_ack(datagram.sequence, differs).await;
+                if changed && differs {
                     // Somebody who has more to tell is asked again at once.
-                    self.greet(&peer).await;
+                    self.sync(&peer).await;
                 }
             }
             Purpose::PingRequest => self.relay_ping(&datagram, &peer).await,
@@ -120,7 +120,7 @@
                 self.send(Purpose::VersionReply, datagram.sequence, &peer, false)
                     .await;
             }
-            Purpose::Rumor if news => self.spread().await,
+            Purpose::Rumor if changed => self.spread().await,
             Purpose::Rumor | Purpose::VersionReply => {}
         }
     }
@@ -132,34 +132,34 @@
             .insert(peer.name.clone(), version);
         let own = self.configuration.version();
         if version > own {
-            self.configuration.hear_of(version, peer);
+            self.configuration.report_newer(version, peer);
             return;
         }
-        if version < own && self.may_nudge(&peer.name) {
+        if version < own && self.may_send_notice(&peer.name) {
             self.send(Purpose::Rumor, 0, peer, false).await;
         }
     }
 
-    fn may_nudge(&self, name: &NodeName) -> bool {
+    fn may_send_notice(&self, name: &NodeName) -> bool {
         let now = Instant::now();
-        let mut nudged = self.nudged.borrow_mut();
-        let due = nudged
+        let mut last_notices = self.last_notices.borrow_mut();
+        let due = last_notices
             .get(name)
-            .is_none_or(|last| now.saturating_duration_since(*last) >= NUDGE_PAUSE);
+            .is_none_or(|last| now.saturating_duration_since(*last) >= STALE_NOTICE_INTERVAL);
         if due {
-            nudged.insert(name.clone(), now);
+            last_notices.insert(name.clone(), now);
         }
         due
     }
 
-    async fn take_ack(&self, sequence: u64, differs: bool) {
-        let waiting = self.pending.borrow_mut().remove(&sequence);
-        if let Some(waiting) = waiting {
+    async fn handle_ack(&self, sequence: u64, differs: bool) {
+        let waiter = self.pending.borrow_mut().remove(&sequence);
+        if let Some(waiter) = waiter {
             // The probe may have ended its wait.
-            let _ = waiting.send(());
+            let _ = waiter.send(());
         }
-        let relayed = self.relayed.borrow_mut().remove(&sequence);
-        if let Some((origin, sequence)) = relayed {
+        let relay = self.relays.borrow_mut().remove(&sequence);
+        if let Some((origin, sequence)) = relay {
             let mut datagram = self.datagram(Purpose::Ack, sequence);
             self.membership.fill(&mut datagram, differs);
             self.send_datagram(&datagram, origin).await;
@@ -175,37 +175,37 @@
             return;
         };
         let sequence = self.next_sequence();
-        self.remember_relayed(sequence, origin.address, datagram.sequence);
+        self.record_relay(sequence, origin.address, datagram.sequence);
         self.send(Purpose::Ping, sequence, &target, false).await;
     }
 
-    fn remember_relayed(&self, sequence: u64, origin: SocketAddr, asked: u64) {
-        let mut relayed = self.relayed.borrow_mut();
-        relayed.retain(|old, _| old + RELAYED_MEMORY > sequence);
-        relayed.insert(sequence, (origin, asked));
+    fn record_relay(&self, sequence: u64, origin: SocketAddr, origin_sequence: u64) {
+        let mut relays = self.relays.borrow_mut();
+        relays.retain(|old, _| old + RELAY_RETENTION > sequence);
+        relays.insert(sequence, (origin, origin_sequence));
     }
 
     /// Tells some members at once what is new here.
     pub(crate) async fn spread(&self) {
         let alive = self.membership.alive();
-        let chosen: Vec<Rc<Peer>> = alive
+        let selected: Vec<Rc<Peer>> = alive
             .choose_multiple(&mut rand::rng(), FAN_OUT)
             .cloned()
             .collect();
-        for peer in chosen {
+        for peer in selected {
             self.send(Purpose::Rumor, 0, &peer, false).await;
         }
     }
 
     /// Tells every living member at once what is new here.
-    pub(crate) async fn tell_all(&self) {
+    pub(crate) async fn broadcast(&self) {
         for peer in self.membership.alive() {
             self.send(Purpose::Rumor, 0, &peer, false).await;
         }
     }
 
     /// Asks every living member for the version that it has in force.
-    pub(crate) async fn ask_versions(&self) {
+    pub(crate) async fn query_versions(&self) {
         for peer in self.membership.alive() {
             self.send(Purpose::VersionQuery, 0, &peer, false).await;
         }
@@ -226,7 +226,7 @@
         Datagram {
             purpose: purpose.into(),
             sequence,
-            sender: Some(self.membership.me()),
+            sender: Some(self.membership.local_member()),
             config_version: self.configuration.version().0,
             digest: self.membership.digest(),
             target: String::new(),
@@ -239,20 +239,20 @@
         // A member that hears what it is accused of can contradict it.
         datagram
             .members
-            .extend(self.membership.accusation(&peer.name));
+            .extend(self.membership.suspicion_of(&peer.name));
         self.membership.fill(&mut datagram, differs);
         self.send_datagram(&datagram, peer.address).await;
     }
 
     /// Pings a member with all that fits, without waiting for its answer.
-    pub(crate) async fn greet(&self, peer: &Peer) {
+    pub(crate) async fn sync(&self, peer: &Peer) {
         let sequence = self.next_sequence();
         self.send(Purpose::Ping, sequence, peer, true).await;
     }
 
     pub(crate) async fn send_datagram(&self, datagram: &Datagram, address: SocketAddr) {
         let bytes = encode_datagram(datagram);
-        self.metrics.note_control_sent(bytes.len());
+        self.metrics.record_control_sent(bytes.len());
         // A datagram that cannot be sent is like one that was lost.
         let _ = self.socket.send_to(bytes, address).await;
     }
--- a/crates/node/src/membership/member.rs
+++ b/crates/node/src/membership/member.rs
@@ -40,7 +40,7 @@
     pub(crate) state: State,
     pub(crate) revision: u64,
     pub(crate) changed: Instant,
-    pub(crate) sent: u32,
+    pub(crate) send_count: u32,
 }
 
 impl Record {
@@ -50,7 +50,7 @@
             state: update.state(),
             revision: update.revision,
             changed: now,
-            sent: 0,
+            send_count: 0,
         }
     }
 
@@ -66,7 +66,7 @@
     pub(crate) fn set_state(&mut self, state: State, now: Instant) {
         self.state = state;
         self.changed = now;
-        self.sent = 0;
+        self.send_count = 0;
     }
 
     /// Returns the member as it is passed on.
--- a/crates/node/src/membership/mod.rs
+++ b/crates/node/src/membership/mod.rs
@@ -24,11 +24,11 @@
 
 /// The members that this node knows, itself included.
 pub(crate) struct Membership {
-    me: RefCell<Member>,
-    known: RefCell<BTreeMap<NodeName, Record>>,
+    local_member: RefCell<Member>,
+    records: RefCell<BTreeMap<NodeName, Record>>,
     by_service: RefCell<HashMap<ServiceName, Rc<[Rc<Peer>]>>>,
     changes: Cell<u64>,
-    agreed: Cell<bool>,
+    converged: Cell<bool>,
 }
 
 impl Service for Membership {
@@ -36,40 +36,40 @@
 }
 
 impl Membership {
-    pub(crate) fn new(me: Member) -> Self {
+    pub(crate) fn new(local_member: Member) -> Self {
         Self {
-            me: RefCell::new(me),
-            known: RefCell::default(),
+            local_member: RefCell::new(local_member),
+            records: RefCell::default(),
             by_service: RefCell::default(),
             changes: Cell::new(0),
-            agreed: Cell::new(false),
+            converged: Cell::new(false),
         }
     }
 
     /// Notes that another node knows the same members as this one.
-    pub(crate) fn note_agreed(&self) {
-        self.agreed.set(true);
+    pub(crate) fn mark_converged(&self) {
+        self.converged.set(true);
     }
 
     /// Returns true if some other node has known the same members as this one.
-    pub(crate) fn has_agreed(&self) -> bool {
-        self.agreed.get()
+    pub(crate) fn has_converged(&self) -> bool {
+        self.converged.get()
     }
 
     /// Returns what this node says of itself.
-    pub(crate) fn me(&self) -> Member {
-        self.me.borrow().clone()
+    pub(crate) fn local_member(&self) -> Member {
+        self.local_member.borrow().clone()
     }
 
     /// Changes what this node says of itself; returns true if that is new.
-    pub(crate) fn say(&self, state: State, slots: u32) -> bool {
-        let mut me = self.me.borrow_mut();
-        if me.state() == state && me.slots == slots {
+    pub(crate) fn update_local_state(&self, state: State, slots: u32) -> bool {
+        let mut local_member = self.local_member.borrow_mut();
+        if local_member.state() == state && local_member.slots == slots {
             return false;
         }
-        me.set_state(state);
-        me.slots = slots;
-        me.revision += 1;
+        local_member.set_state(state);
+        local_member.slots = slots;
+        local_member.revision += 1;
         self.changes.set(self.changes.get() + 1);
         true
     }
@@ -79,10 +79,12 @@
         if let Some(peers) = self.by_service.borrow().get(service) {
             return Rc::clone(peers);
         }
-        let known = self.known.borrow();
-        let serving = known.values().filter(|known| known.state == State::Serving);
-        let of_service = serving.filter(|known| known.peer.service == *service);
-        let peers: Rc<[Rc<Peer>]> = of_service.map(|known| Rc::clone(&known.peer)).collect();
+        let records = self.records.borrow();
+        let serving = records
+            .values()
+            .filter(|record| record.state == State::Serving);
+        let of_service = serving.filter(|record| record.peer.service == *service);
+        let peers: Rc<[Rc<Peer>]> = of_service.map(|record| Rc::clone(&record.peer)).collect();
         self.by_service
             .borrow_mut()
             .insert(service.clone(), Rc::clone(&peers));
@@ -91,25 +93,25 @@
 
     /// Returns the member with this name, whatever its state.
     pub(crate) fn find(&self, name: &NodeName) -> Option<(Rc<Peer>, State)> {
-        let known = self.known.borrow();
-        let known = known.get(name)?;
-        Some((Rc::clone(&known.peer), known.state))
+        let records = self.records.borrow();
+        let record = records.get(name)?;
+        Some((Rc::clone(&record.peer), record.state))
     }
 
     /// Returns the record of a member that is suspected or held for dead.
-    pub(crate) fn accusation(&self, name: &NodeName) -> Option<Member> {
-        let known = self.known.borrow();
-        let known = known.get(name)?;
-        let accused = matches!(known.state, State::Suspect | State::Dead);
-        accused.then(|| known.to_member())
+    pub(crate) fn suspicion_of(&self, name: &NodeName) -> Option<Member> {
+        let records = self.records.borrow();
+        let record = records.get(name)?;
+        let accused = matches!(record.state, State::Suspect | State::Dead);
+        accused.then(|| record.to_member())
     }
 
     /// Returns every other member with its state.
     pub(crate) fn all(&self) -> Vec<(Rc<Peer>, State)> {
-        let known = self.known.borrow();
-        let pairs = known
+        let records = self.records.borrow();
+        let pairs = records
             .values()
-            .map(|known| (Rc::clone(&known.peer), known.state));
+            .map(|record| (Rc::clone(&record.peer), record.state));
         pairs.collect()
     }
 
@@ -125,26 +127,26 @@
     /// A dead member that is not known here is no news: nodes would remind each other of it
     /// for ever.
     pub(crate) fn merge(&self, update: &Member, now: Instant) -> bool {
-        if update.node == self.me.borrow().node {
+        if update.node == self.local_member.borrow().node {
             return self.refute(update);
         }
         let Ok(peer) = Peer::try_from(update) else {
             return false;
         };
-        let mut known = self.known.borrow_mut();
-        let earlier = known.get(&peer.name);
-        if earlier.is_some_and(|earlier| !earlier.is_older_than(update)) {
+        let mut records = self.records.borrow_mut();
+        let previous = records.get(&peer.name);
+        if previous.is_some_and(|previous| !previous.is_older_than(update)) {
             return false;
         }
-        let earlier_state = earlier.map(|earlier| earlier.state);
-        if earlier_state.is_none() && update.state() == State::Dead {
+        let previous_state = previous.map(|previous| previous.state);
+        if previous_state.is_none() && update.state() == State::Dead {
             return false;
         }
-        log_change(&peer, earlier_state, update.state());
+        log_change(&peer, previous_state, update.state());
         let name = peer.name.clone();
-        known.insert(name, Record::new(peer, update, now));
-        drop(known);
-        self.note_change();
+        records.insert(name, Record::new(peer, update, now));
+        drop(records);
+        self.invalidate();
         true
     }
 
@@ -156,53 +158,57 @@
     /// Holds the suspects for dead that did not answer for themselves in time, and forgets old ones.
     pub(crate) fn expire(&self, now: Instant, detector: &Detector) -> Vec<Rc<Peer>> {
         let overdue: Vec<Rc<Peer>> = {
-            let known = self.known.borrow();
-            let suspects = known.values().filter(|known| known.state == State::Suspect);
-            let overdue = suspects.filter(|known| now - known.changed >= detector.suspicion.0);
-            overdue.map(|known| Rc::clone(&known.peer)).collect()
+            let records = self.records.borrow();
+            let suspects = records
+                .values()
+                .filter(|record| record.state == State::Suspect);
+            let overdue =
+                suspects.filter(|record| now - record.changed >= detector.suspicion_timeout.0);
+            overdue.map(|record| Rc::clone(&record.peer)).collect()
         };
         for peer in &overdue {
             self.change_state(&peer.name, State::Dead, now);
         }
-        self.known.borrow_mut().retain(|_, known| {
-            known.state != State::Dead || now - known.changed < detector.forget.0
+        self.records.borrow_mut().retain(|_, record| {
+            record.state != State::Dead || now - record.changed < detector.retention.0
         });
         overdue
     }
 
     fn change_state(&self, name: &NodeName, state: State, now: Instant) {
-        let mut known = self.known.borrow_mut();
-        let Some(known) = known.get_mut(name) else {
+        let mut records = self.records.borrow_mut();
+        let Some(record) = records.get_mut(name) else {
             return;
         };
-        if known.state as i32 >= state as i32 {
+        if record.state as i32 >= state as i32 {
             return;
         }
-        log_change(&known.peer, Some(known.state), state);
-        known.set_state(state, now);
-        self.note_change();
+        log_change(&record.peer, Some(record.state), state);
+        record.set_state(state, now);
+        self.invalidate();
     }
 
     /// Contradicts a rumor that this node is suspect or dead.
     fn refute(&self, update: &Member) -> bool {
-        let mut me = self.me.borrow_mut();
-        let about_me = update.incarnation == me.incarnation && update.revision >= me.revision;
-        if !about_me || update.state() == me.state() {
+        let mut local_member = self.local_member.borrow_mut();
+        let about_me = update.incarnation == local_member.incarnation
+            && update.revision >= local_member.revision;
+        if !about_me || update.state() == local_member.state() {
             return false;
         }
-        me.revision = update.revision + 1;
+        local_member.revision = update.revision + 1;
         self.changes.set(self.changes.get() + 1);
         true
     }
 
-    fn note_change(&self) {
+    fn invalidate(&self) {
         self.by_service.borrow_mut().clear();
         self.changes.set(self.changes.get() + 1);
     }
 }
 
-fn log_change(peer: &Peer, earlier: Option<State>, state: State) {
-    if earlier == Some(state) {
+fn log_change(peer: &Peer, previous: Option<State>, state: State) {
+    if previous == Some(state) {
         return;
     }
     let fields: [sailtrack_log::Field<'_>; 3] = [
--- a/crates/node/src/membership/probe.rs
+++ b/crates/node/src/membership/probe.rs
@@ -11,13 +11,13 @@
 use crate::membership::{Gossip, Membership, Peer};
 
 /// How many other members are asked to probe one that did not answer.
-const HELPERS: usize = 2;
+const INDIRECT_PROBES: usize = 2;
 /// One in this many rounds looks for members held for dead.
-const SEARCH_ROUNDS: u64 = 4;
+const DEAD_PROBE_ROUNDS: u64 = 4;
 
 impl Gossip {
     /// Probes members for as long as the task lives; tells `lost` who is held for dead.
-    pub(crate) async fn probe(self: Rc<Self>, lost: impl Fn(&Peer)) {
+    pub(crate) async fn probe(self: Rc<Self>, on_dead: impl Fn(&Peer)) {
         let mut order: Vec<Rc<Peer>> = Vec::new();
         let mut round: u64 = 0;
         loop {
@@ -26,12 +26,12 @@
             if let Some(peer) = next(&mut order, &self.membership) {
                 self.probe_one(&peer).await;
             }
-            if round.is_multiple_of(SEARCH_ROUNDS) {
-                self.search_dead().await;
+            if round.is_multiple_of(DEAD_PROBE_ROUNDS) {
+                self.probe_dead().await;
             }
             let expired = self.membership.expire(Instant::now(), &self.detector);
             for peer in &expired {
-                lost(peer);
+                on_dead(peer);
             }
             sleep(self.detector.period.0.saturating_sub(started.elapsed())).await;
         }
@@ -54,19 +54,19 @@
         if timeout(self.detector.timeout.0, &mut answer).await.is_ok() {
             return true;
         }
-        self.ask_helpers(peer, sequence).await;
-        let rest: Duration = self.detector.timeout.0;
-        timeout(rest, answer).await.is_ok()
+        self.probe_indirectly(peer, sequence).await;
+        let remaining: Duration = self.detector.timeout.0;
+        timeout(remaining, answer).await.is_ok()
     }
 
-    async fn ask_helpers(&self, peer: &Peer, sequence: u64) {
+    async fn probe_indirectly(&self, peer: &Peer, sequence: u64) {
         let alive = self.membership.alive();
         let others: Vec<&Rc<Peer>> = alive
             .iter()
             .filter(|other| other.name != peer.name)
             .collect();
         let helpers: Vec<Rc<Peer>> = others
-            .choose_multiple(&mut rand::rng(), HELPERS)
+            .choose_multiple(&mut rand::rng(), INDIRECT_PROBES)
             .map(|helper| Rc::clone(helper))
             .collect();
         for helper in helpers {
@@ -77,17 +77,17 @@
     }
 
     /// Pings one member that is held for dead; if it lives, it will contradict that.
-    async fn search_dead(&self) {
+    async fn probe_dead(&self) {
         let all = self.membership.all();
         let dead: Vec<_> = all
             .iter()
             .filter(|(_, state)| *state == State::Dead)
             .collect();
-        let chosen = dead
+        let selected = dead
             .choose(&mut rand::rng())
             .map(|(peer, _)| Rc::clone(peer));
-        if let Some(peer) = chosen {
-            self.greet(&peer).await;
+        if let Some(peer) = selected {
+            self.sync(&peer).await;
         }
     }
 }
--- a/crates/node/src/membership/rumor.rs
+++ b/crates/node/src/membership/rumor.rs
@@ -15,37 +15,40 @@
 impl Membership {
     /// Fills the datagram with news, and with anything else if `differs` says that digests differ.
     pub(crate) fn fill(&self, datagram: &mut Datagram, differs: bool) {
-        let mut room = MAX_DATAGRAM.saturating_sub(datagram.encoded_len());
-        for (name, member) in self.choose(differs) {
+        let mut available = MAX_DATAGRAM.saturating_sub(datagram.encoded_len());
+        for (name, member) in self.select_updates(differs) {
             let size = member.encoded_len() + MEMBER_FRAMING;
-            if size > room {
+            if size > available {
                 break;
             }
-            room -= size;
+            available -= size;
             datagram.members.push(member);
-            if let Some(known) = self.known.borrow_mut().get_mut(&name) {
-                known.sent += 1;
+            if let Some(record) = self.records.borrow_mut().get_mut(&name) {
+                record.send_count += 1;
             }
         }
     }
 
-    fn choose(&self, differs: bool) -> Vec<(NodeName, Member)> {
-        let known = self.known.borrow();
-        let limit = sends_limit(known.len());
-        let mut news: Vec<_> = known.values().filter(|known| known.sent < limit).collect();
-        news.sort_by_key(|known| known.sent);
+    fn select_updates(&self, differs: bool) -> Vec<(NodeName, Member)> {
+        let records = self.records.borrow();
+        let limit = send_limit(records.len());
+        let mut pending: Vec<_> = records
+            .values()
+            .filter(|record| record.send_count < limit)
+            .collect();
+        pending.sort_by_key(|record| record.send_count);
         let mut others = Vec::new();
         if differs {
-            others.extend(known.values().filter(|known| known.sent >= limit));
+            others.extend(records.values().filter(|record| record.send_count >= limit));
             others.shuffle(&mut rand::rng());
         }
-        let chosen = news.into_iter().chain(others);
-        let pairs = chosen.map(|known| (known.peer.name.clone(), known.to_member()));
+        let selected = pending.into_iter().chain(others);
+        let pairs = selected.map(|record| (record.peer.name.clone(), record.to_member()));
         pairs.collect()
     }
 }
 
-fn sends_limit(members: usize) -> u32 {
+fn send_limit(members: usize) -> u32 {
     let doublings = usize::BITS - members.leading_zeros();
     SENDS_PER_DOUBLING * doublings.max(1)
 }
--- a/crates/node/src/membership/tests.rs
+++ b/crates/node/src/membership/tests.rs
@@ -8,7 +8,7 @@
 use crate::membership::Membership;
 use crate::settings::Detector;
 
-const FORGET: Duration = Duration::from_mins(10);
+const RETENTION: Duration = Duration::from_mins(10);
 
 fn member(node: &str, state: State) -> Member {
     Member {
@@ -31,8 +31,8 @@
     Detector {
         period: Period::from_millis(500),
         timeout: Period::from_millis(200),
-        suspicion: Period::from_millis(1500),
-        forget: Period(FORGET),
+        suspicion_timeout: Period::from_millis(1500),
+        retention: Period(RETENTION),
     }
 }
 
@@ -52,7 +52,7 @@
         assert!(node.merge(&member("desk-3", State::Serving), now));
         assert!(node.merge(&member("desk-3", State::Dead), now));
     }
-    let later = now + FORGET;
+    let later = now + RETENTION;
     nodes[0].expire(later, &detector());
     assert!(nodes[0].all().is_empty());
     // The other one has not forgotten yet and tells what it knows.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -185,12 +185,12 @@
     }
 
     /// Counts a call that was served by the own upstream.
-    pub(crate) fn note_served(&self, call: &Call, answer: &Answer) {
+    pub(crate) fn record_served(&self, call: &Call, answer: &Answer) {
         self.served.get_or_create(&labels(call, answer)).inc();
     }
 
     /// Counts a call that was brought to its answer.
-    pub(crate) fn note_dispatched(&self, call: &Call, answer: &Answer) {
+    pub(crate) fn record_dispatched(&self, call: &Call, answer: &Answer) {
         self.dispatched.get_or_create(&labels(call, answer)).inc();
         self.tally(call, |tally| match answer.outcome {
             Outcome::Done => tally.done += 1,
@@ -201,7 +201,7 @@
     }
 
     /// Counts a call that was refused before it ran.
-    pub(crate) fn note_shed(&self, call: &Call, reason: Reason) {
+    pub(crate) fn record_shed(&self, call: &Call, reason: Reason) {
         let labels = ShedLabels {
             kind: call.kind.to_string(),
             reason: reason_word(reason),
@@ -222,22 +222,22 @@
     }
 
     /// Counts a retry.
-    pub(crate) fn note_retry(&self) {
+    pub(crate) fn record_retry(&self) {
         self.retries.inc();
     }
 
     /// Counts a connection to another node that was lost.
-    pub(crate) fn note_peer_lost(&self) {
+    pub(crate) fn record_peer_lost(&self) {
         self.peers_lost.inc();
     }
 
     /// Notes the time that this node added to a call.
-    pub(crate) fn note_added_time(&self, added: Duration) {
+    pub(crate) fn record_added_time(&self, added: Duration) {
         self.added_time.observe(added.as_secs_f64());
     }
 
     /// Notes the time that a call spent in the own upstream.
-    pub(crate) fn note_upstream_time(&self, kind: &KindName, spent: Duration) {
+    pub(crate) fn record_upstream_time(&self, kind: &KindName, spent: Duration) {
         let labels = KindLabels {
             kind: kind.to_string(),
         };
@@ -246,12 +246,12 @@
     }
 
     /// Counts control traffic that was sent.
-    pub(crate) fn note_control_sent(&self, bytes: usize) {
+    pub(crate) fn record_control_sent(&self, bytes: usize) {
         self.control_sent.inc_by(bytes as u64);
     }
 
     /// Counts control traffic that was received.
-    pub(crate) fn note_control_received(&self, bytes: usize) {
+    pub(crate) fn record_control_received(&self, bytes: usize) {
         self.control_received.inc_by(bytes as u64);
     }
 
--- a/crates/node/src/node/handover.rs
+++ b/crates/node/src/node/handover.rs
@@ -14,7 +14,7 @@
 use crate::ticket::{Part, Tickets};
 
 /// How long handing everything over to one node may take.
-const HAND_OVER_TIME: Duration = Duration::from_secs(2);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// The bytes of answers that go into one message.
 const PART_SIZE: usize = 256 * 1024;
 
@@ -42,13 +42,13 @@
         }
         true
     };
-    let taken = timeout(HAND_OVER_TIME, sending).await.unwrap_or(false);
+    let accepted = timeout(HANDOVER_TIMEOUT, sending).await.unwrap_or(false);
     emit(
         &catalogue::TICKETS_HANDED_OVER,
         &[
             ("node", &successor.name),
             ("tickets", &total),
-            ("taken", &taken),
+            ("taken", &accepted),
         ],
     );
 }
--- a/crates/node/src/node/maintenance.rs
+++ b/crates/node/src/node/maintenance.rs
@@ -27,32 +27,32 @@
 use sailtrack_settings::Identity;
 
 /// Where the nodes' rows stand in the platform's table.
-const NODES: &str = "nodes/";
+const NODES_PREFIX: &str = "nodes/";
 /// How often the node looks whether its own state has changed.
-const REFRESH: Duration = Duration::from_millis(100);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause after an operation on the platform that failed once.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// The longest pause after many such failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
 /// A row that was not renewed for this many renewals is ignored.
 const MISSED_RENEWALS: u32 = 3;
 /// How often the node looks whether an event is near.
-const PREPARE_PAUSE: Duration = Duration::from_secs(1);
+const PREPARE_INTERVAL: Duration = Duration::from_secs(1);
 /// The connections opened before an event to an upstream with unknown slots.
-const DEFAULT_WARM: usize = 20;
+const DEFAULT_PRECONNECT: usize = 20;
 /// How often unknown outcomes are written to the platform.
-const SAVE_PAUSE: Duration = Duration::from_secs(1);
+const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How many contacts a node reads at once; they tell it of all others.
-const CONTACTS: usize = 4;
+const CONTACT_BATCH: usize = 4;
 /// The greatest pause before a node looks for contacts for the first time.
-const FIRST_LOOK: Duration = Duration::from_millis(200);
+const FIRST_DISCOVERY_DELAY: Duration = Duration::from_millis(200);
 
 /// Returns the key of a node's row.
 ///
 /// The hash spreads the rows evenly, so a scan from a random place finds random nodes.
 pub(crate) fn row_key(node: &str) -> String {
-    format!("{NODES}{:016x}-{node}", xxh3_64(node.as_bytes()))
+    format!("{NODES_PREFIX}{:016x}-{node}", xxh3_64(node.as_bytes()))
 }
 
 /// What stands in the row of a node: where others can find it.
@@ -90,7 +90,7 @@
     /// Says what state the node is in, and spreads it if that is new.
     pub(crate) async fn refresh(&self) {
         let ready = self.upstream.is_ready(Instant::now());
-        let was = self.membership.me().state();
+        let was = self.membership.local_member().state();
         let state = match (self.phase.get(), ready) {
             (Phase::Joining, _) => State::Joining,
             (Phase::Serving, true) => State::Serving,
@@ -99,18 +99,18 @@
             (Phase::Draining | Phase::Stopped, _) => State::Leaving,
         };
         let slots = self.upstream.slots().unwrap_or(0);
-        if !self.membership.say(state, slots) {
+        if !self.membership.update_local_state(state, slots) {
             return;
         }
         if was == State::Serving && state == State::Leaving {
-            self.note_gone();
-            self.gossip.tell_all().await;
+            self.log_upstream_gone();
+            self.gossip.broadcast().await;
         } else {
             self.gossip.spread().await;
         }
     }
 
-    fn note_gone(&self) {
+    fn log_upstream_gone(&self) {
         let reason = match self.upstream.state(Instant::now()) {
             None => "it stopped announcing itself",
             Some(_) => "it is leaving, drained or unreachable",
@@ -119,16 +119,16 @@
     }
 
     /// Refreshes the state for as long as the task lives.
-    pub(crate) async fn keep_refreshing(self: Rc<Self>) {
+    pub(crate) async fn run_refresh(self: Rc<Self>) {
         loop {
             self.refresh().await;
-            sleep(REFRESH).await;
+            sleep(REFRESH_INTERVAL).await;
         }
     }
 
     /// Renews the node's row, for as long as it does not leave.
-    pub(crate) async fn keep_renewing(self: Rc<Self>) {
-        let mut backoff = Backoff::new(RETRY_PAUSE, LONGEST_PAUSE);
+    pub(crate) async fn run_renewal(self: Rc<Self>) {
+        let mut backoff = Backoff::new(RETRY_DELAY, MAX_RETRY_DELAY);
         while self.phase.get() < Phase::Draining {
             let pause = if self.renew_row().await {
                 backoff.reset();
@@ -143,7 +143,7 @@
     async fn renew_row(&self) -> bool {
         let contact = Contact {
             node: self.identity.name.clone(),
-            incarnation: Incarnation(self.membership.me().incarnation),
+            incarnation: Incarnation(self.membership.local_member().incarnation),
             address: self.advertise,
             renewed: Timestamp::now(),
         };
@@ -157,13 +157,13 @@
     ///
     /// Nodes that have found some others go on looking, since groups that started apart, or
     /// were cut off for longer than they remember each other, find together only here.
-    pub(crate) async fn keep_discovering(self: Rc<Self>) {
-        let mut backoff = Backoff::new(FIRST_LOOK, self.renew);
+    pub(crate) async fn run_discovery(self: Rc<Self>) {
+        let mut backoff = Backoff::new(FIRST_DISCOVERY_DELAY, self.renew);
         while self.phase.get() < Phase::Draining {
             let pause = backoff.pause(&mut rand::rng());
-            let alone = self.membership.alive().is_empty();
-            sleep(if alone {
-                pause.min(LONGEST_PAUSE)
+            let is_alone = self.membership.alive().is_empty();
+            sleep(if is_alone {
+                pause.min(MAX_RETRY_DELAY)
             } else {
                 pause
             })
@@ -175,10 +175,10 @@
     /// Takes in a few contacts from a random place in the table on, and from its start if that
     /// place is near the end.
     async fn discover(&self) {
-        let from = format!("{NODES}{:016x}", rand::rng().random::<u64>());
-        let mut missing = CONTACTS;
-        for from in [from.as_str(), NODES] {
-            let Ok(rows) = self.platform.scan_some(NODES, from, missing).await else {
+        let from = format!("{NODES_PREFIX}{:016x}", rand::rng().random::<u64>());
+        let mut missing = CONTACT_BATCH;
+        for from in [from.as_str(), NODES_PREFIX] {
+            let Ok(rows) = self.platform.scan_page(NODES_PREFIX, from, missing).await else {
                 return;
             };
             self.ping_contacts(&rows).await;
@@ -190,12 +190,12 @@
     }
 
     /// Asks the seeds from the settings for as long as no other node is known.
-    pub(crate) async fn keep_asking_seeds(self: Rc<Self>) {
+    pub(crate) async fn run_seed_pings(self: Rc<Self>) {
         while self.membership.alive().is_empty() {
             for seed in &self.seeds {
                 self.ping(*seed).await;
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -208,11 +208,11 @@
     /// Pings the contacts that are not known to live; only their own answer makes them members.
     async fn ping_contacts(&self, rows: &[Row]) {
         let now = Timestamp::now();
-        let longest = self.renew * MISSED_RENEWALS;
+        let max_age = self.renew * MISSED_RENEWALS;
         let contacts = rows
             .iter()
             .filter_map(|row| serde_json::from_str::<Contact>(&row.value).ok())
-            .filter(|contact| now.since(contact.renewed) < longest);
+            .filter(|contact| now.since(contact.renewed) < max_age);
         for contact in contacts {
             if !self.is_known(&contact) {
                 self.ping(contact.address).await;
@@ -231,19 +231,19 @@
     }
 
     /// Opens connections before an event, for as long as the task lives.
-    pub(crate) async fn keep_preparing(self: Rc<Self>) {
+    pub(crate) async fn run_event_preparation(self: Rc<Self>) {
         loop {
             let current = self.configuration.current();
             let now = Timestamp::now();
-            let near = current
+            let upcoming = current
                 .declaration
                 .events
                 .iter()
                 .filter(|event| event.is_near(now));
-            for event in near {
+            for event in upcoming {
                 self.prepare(event).await;
             }
-            sleep(PREPARE_PAUSE).await;
+            sleep(PREPARE_INTERVAL).await;
         }
     }
 
@@ -253,8 +253,8 @@
             let slots = self
                 .upstream
                 .slots()
-                .map_or(DEFAULT_WARM, |slots| slots as usize);
-            self.upstream.warm(slots.min(limit)).await;
+                .map_or(DEFAULT_PRECONNECT, |slots| slots as usize);
+            self.upstream.preconnect(slots.min(limit)).await;
         }
         for service in &event.services {
             self.connect(service).await;
@@ -263,11 +263,11 @@
 
     async fn connect(&self, service: &ServiceName) {
         let peers = self.membership.serving(service);
-        let near = peers
+        let same_domain = peers
             .iter()
             .filter(|peer| peer.domain == self.identity.domain);
-        for peer in near {
-            self.peers.warm(peer).await;
+        for peer in same_domain {
+            self.peers.preconnect(peer).await;
         }
     }
 
@@ -293,7 +293,7 @@
 
     /// Writes all unknown outcomes up to the first that cannot be written; returns false then.
     async fn save_unknowns(&self) -> bool {
-        let mut unsaved = self.unknowns.take_unsaved().into_iter();
+        let mut unsaved = self.unknowns.drain_unsaved().into_iter();
         while let Some(unknown) = unsaved.next() {
             if !self.save_unknown(unknown).await {
                 unsaved.for_each(|rest| self.unknowns.put_back(rest));
@@ -304,19 +304,19 @@
     }
 
     /// Writes unknown outcomes to the platform, for as long as the task lives.
-    pub(crate) async fn keep_saving_unknowns(self: Rc<Self>) {
-        let mut backoff = Backoff::new(SAVE_PAUSE, LONGEST_PAUSE);
+    pub(crate) async fn run_unknown_saving(self: Rc<Self>) {
+        let mut backoff = Backoff::new(SAVE_INTERVAL, MAX_RETRY_DELAY);
         loop {
             if !self.save_unknowns().await {
                 sleep(backoff.pause(&mut rand::rng())).await;
                 continue;
             }
             backoff.reset();
-            for ticket in self.unknowns.take_resolved() {
+            for ticket in self.unknowns.drain_resolved() {
                 // A row that stays is shown until an operator settles it.
                 let _ = self.platform.remove(&unknown_key(&ticket)).await;
             }
-            sleep(SAVE_PAUSE).await;
+            sleep(SAVE_INTERVAL).await;
         }
     }
 }
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -24,25 +24,25 @@
 use maintenance::Maintenance;
 
 /// How often waiting for a condition looks at it.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a new node waits for another one to know the same members.
-const MEETING_TIME: Duration = Duration::from_secs(2);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a leaving node goes on refusing what stale callers still send.
-const LEAVING_TIME: Duration = Duration::from_secs(1);
+const MIN_DRAIN_TIME: Duration = Duration::from_secs(1);
 /// It goes on until none has sent anything for this long,
 const QUIET_TIME: Duration = Duration::from_millis(500);
 /// but no longer than this, since some may never hear that it leaves.
-const LONGEST_LEAVING_TIME: Duration = Duration::from_secs(3);
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 /// How long removing the node's row may hold up its end.
-const FAREWELL_TIME: Duration = Duration::from_millis(300);
+const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs a node from its start to its planned stop.
 pub(crate) async fn run(settings: Settings) -> Result<(), Error> {
     let mut terminate = Terminate::install().map_err(Error::Signal)?;
-    let life = Life::<Joining>::default();
+    let lifecycle = Life::<Joining>::default();
     let in_flight = Rc::new(Cell::new(0));
     let table = Rc::new(Table::default());
-    services::start(&table, &settings, &life, &in_flight)?;
+    services::start(&table, &settings, &lifecycle, &in_flight)?;
     let name = settings.identity.name.to_string();
     emit(
         &catalogue::PROCESS_STARTED,
@@ -50,10 +50,10 @@
     );
     let configured = join(&table, &mut terminate).await?;
     if configured {
-        let life = serve(&table, life.serve(), &mut terminate, &in_flight).await?;
-        drain(&table, &settings, life, terminate, &in_flight).await?;
+        let lifecycle = serve(&table, lifecycle.serve(), &mut terminate, &in_flight).await?;
+        drain(&table, &settings, lifecycle, terminate, &in_flight).await?;
     } else {
-        let _stopped = life.abandon();
+        let _stopped = lifecycle.abandon();
     }
     emit(&catalogue::PROCESS_STOPPED, &[("process", &name)]);
     Ok(())
@@ -69,10 +69,10 @@
     let started = Instant::now();
     let configured = async {
         while configuration.version() == ConfigVersion::default() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        while !membership.has_agreed() && started.elapsed() < MEETING_TIME {
-            sleep(LOOK).await;
+        while !membership.has_converged() && started.elapsed() < CONVERGENCE_TIMEOUT {
+            sleep(POLL_INTERVAL).await;
         }
     };
     monoio::select! {
@@ -84,7 +84,7 @@
 /// Serves until the node is told to stop.
 async fn serve(
     table: &Rc<Table>,
-    life: Life<Serving>,
+    lifecycle: Life<Serving>,
     terminate: &mut Terminate,
     in_flight: &Cell<usize>,
 ) -> Result<Life<Draining>, Error> {
@@ -94,22 +94,22 @@
         &catalogue::STOP_REQUESTED,
         &[("in_flight", &in_flight.get())],
     );
-    Ok(life.drain())
+    Ok(lifecycle.drain())
 }
 
 /// Announces that the node leaves, finishes what is in flight and ends its life.
 async fn drain(
     table: &Rc<Table>,
     settings: &Settings,
-    life: Life<Draining>,
+    lifecycle: Life<Draining>,
     mut terminate: Terminate,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let gossip = table.find::<Gossip>()?;
     let membership = table.find::<Membership>()?;
     let platform = table.find::<Platform>()?;
-    membership.say(State::Leaving, 0);
-    gossip.tell_all().await;
+    membership.update_local_state(State::Leaving, 0);
+    gossip.broadcast().await;
     let count = Rc::clone(in_flight);
     task::spawn("repeated stop", async move {
         while terminate.wait().await.is_ok() {
@@ -119,16 +119,16 @@
     let announced = Instant::now();
     let executor = table.find::<Executor>()?;
     let has_callers = || {
-        let quiet = executor.is_quiet(Instant::now(), QUIET_TIME);
-        !quiet && announced.elapsed() < LONGEST_LEAVING_TIME
+        let quiet = executor.has_been_quiet(Instant::now(), QUIET_TIME);
+        !quiet && announced.elapsed() < MAX_DRAIN_TIME
     };
-    while in_flight.get() > 0 || announced.elapsed() < LEAVING_TIME || has_callers() {
-        sleep(LOOK).await;
+    while in_flight.get() > 0 || announced.elapsed() < MIN_DRAIN_TIME || has_callers() {
+        sleep(POLL_INTERVAL).await;
     }
     handover::hand_over(table, settings).await?;
-    let row = maintenance::row_key(&membership.me().node);
+    let row = maintenance::row_key(&membership.local_member().node);
     // The row of a node that is gone is ignored by its age in any case.
-    let _ = monoio::time::timeout(FAREWELL_TIME, platform.remove(&row)).await;
-    let _stopped = life.stop();
+    let _ = monoio::time::timeout(DEREGISTRATION_TIMEOUT, platform.remove(&row)).await;
+    let _stopped = lifecycle.stop();
     Ok(())
 }
--- a/crates/node/src/node/services.rs
+++ b/crates/node/src/node/services.rs
@@ -37,7 +37,7 @@
 use sailtrack_admission::{Admission, Windows};
 
 /// How many heard-of versions wait to be fetched.
-const HEARD_CAPACITY: usize = 4;
+const NEWER_VERSIONS_CAPACITY: usize = 4;
 /// The bits of an incarnation that are drawn at random.
 const INCARNATION_RANDOM_BITS: u32 = 12;
 
@@ -54,7 +54,7 @@
 pub(crate) fn start(
     table: &Rc<Table>,
     settings: &Settings,
-    life: &Life<Joining>,
+    lifecycle: &Life<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let sockets = open(settings)?;
@@ -67,9 +67,15 @@
         gossip,
     } = sockets;
     install_network(table, settings, gossip)?;
-    install_decisions(table, settings, life, in_flight)?;
+    install_decisions(table, settings, lifecycle, in_flight)?;
     start_peer_tasks(table, settings, peer)?;
-    start_ports(table, settings, life, in_flight, [client, local, operator])
+    start_ports(
+        table,
+        settings,
+        lifecycle,
+        in_flight,
+        [client, local, operator],
+    )
 }
 
 fn open(settings: &Settings) -> Result<Sockets, Error> {
@@ -78,16 +84,18 @@
         client: open_port("client", ports.client)?,
         local: open_port("local", ports.local)?,
         operator: open_port("operator", ports.operator)?,
-        peer: TcpListener::bind(ports.peer).map_err(|error| failed("peer", ports.peer, error))?,
-        gossip: UdpSocket::bind(ports.peer).map_err(|error| failed("peer", ports.peer, error))?,
+        peer: TcpListener::bind(ports.peer)
+            .map_err(|error| port_error("peer", ports.peer, error))?,
+        gossip: UdpSocket::bind(ports.peer)
+            .map_err(|error| port_error("peer", ports.peer, error))?,
     })
 }
 
 fn open_port(name: &'static str, address: SocketAddr) -> Result<Port, Error> {
-    Port::open(name, address, Limits::server()).map_err(|error| failed(name, address, error))
+    Port::open(name, address, Limits::server()).map_err(|error| port_error(name, address, error))
 }
 
-fn failed(port: &'static str, address: SocketAddr, error: std::io::Error) -> Error {
+fn port_error(port: &'static str, address: SocketAddr, error: std::io::Error) -> Error {
     Error::Port {
         port,
         address,
@@ -120,7 +128,7 @@
         settings.ports.peer.ip(),
     ));
     let tickets = Tickets::builder(identity.name.clone(), incarnation)
-        .life(tuning.ticket_life.0)
+        .lifetime(tuning.ticket_lifetime.0)
         .memory(tuning.ticket_memory);
     table.install(tickets.build());
     table.install(Membership::new(Member {
@@ -160,13 +168,13 @@
 fn install_decisions(
     table: &Table,
     settings: &Settings,
-    life: &Life<Joining>,
+    lifecycle: &Life<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let policy = settings.tuning.admission.policy;
     table.install(Executor {
         policy,
-        phase: life.watch(),
+        phase: lifecycle.watch(),
         admission: table.find()?,
         windows: table.find()?,
         downstream: table.find()?,
@@ -175,7 +183,7 @@
         tickets: table.find()?,
         metrics: table.find()?,
         in_flight: Rc::clone(in_flight),
-        refused_leaving: Cell::default(),
+        last_draining_refusal: Cell::default(),
     });
     table.install(Routing {
         policy,
@@ -210,7 +218,7 @@
     });
     table.install(Maintenance {
         identity: settings.identity.clone(),
-        phase: life.watch(),
+        phase: lifecycle.watch(),
         renew: settings.platform.renew.0,
         advertise: settings.ports.advertise,
         seeds: settings.seeds.clone(),
@@ -235,17 +243,20 @@
     let peers = table.find::<Peers>()?;
     task::spawn("peer port", table.find::<PeerAcceptor>()?.accept(listener));
     task::spawn("gossip", Rc::clone(&gossip).receive());
-    let lost = Rc::clone(&peers);
-    let probe = Rc::clone(&gossip).probe(move |peer| lost.drop_link(&peer.name));
+    let links = Rc::clone(&peers);
+    let probe = Rc::clone(&gossip).probe(move |peer| links.disconnect(&peer.name));
     task::spawn("probe", probe);
     start_configuration_tasks(table, settings, gossip, peers)?;
     let maintenance = table.find::<Maintenance>()?;
-    task::spawn("refresh", Rc::clone(&maintenance).keep_refreshing());
-    task::spawn("renewal", Rc::clone(&maintenance).keep_renewing());
-    task::spawn("discovery", Rc::clone(&maintenance).keep_discovering());
-    task::spawn("seeds", Rc::clone(&maintenance).keep_asking_seeds());
-    task::spawn("preparation", Rc::clone(&maintenance).keep_preparing());
-    task::spawn("unknown outcomes", maintenance.keep_saving_unknowns());
+    task::spawn("refresh", Rc::clone(&maintenance).run_refresh());
+    task::spawn("renewal", Rc::clone(&maintenance).run_renewal());
+    task::spawn("discovery", Rc::clone(&maintenance).run_discovery());
+    task::spawn("seeds", Rc::clone(&maintenance).run_seed_pings());
+    task::spawn(
+        "preparation",
+        Rc::clone(&maintenance).run_event_preparation(),
+    );
+    task::spawn("unknown outcomes", maintenance.run_unknown_saving());
     Ok(())
 }
 
@@ -256,38 +267,38 @@
     peers: Rc<Peers>,
 ) -> Result<(), Error> {
     let configuration = table.find::<Configuration>()?;
-    let (sender, heard) = mpsc::channel(HEARD_CAPACITY);
-    configuration.report_to(sender);
+    let (sender, newer_versions) = mpsc::channel(NEWER_VERSIONS_CAPACITY);
+    configuration.send_newer_to(sender);
     let admission = table.find::<Admission>()?;
     let upstream = table.find::<Upstream>()?;
     let identity = settings.identity.clone();
-    configuration.listen(move |version| {
+    configuration.on_change(move |version| {
         let declaration = &version.declaration;
         admission.declare_limit(declaration.limit(&identity.service));
         upstream.set_drained(declaration.drained.contains(&identity.name));
     });
-    let spreader = Rc::new(Fetcher {
+    let fetcher = Rc::new(Fetcher {
         configuration,
         platform: table.find()?,
         peers,
         gossip,
         poll: settings.platform.poll.0,
     });
-    task::spawn("configuration poll", Rc::clone(&spreader).poll());
-    task::spawn("configuration fetch", spreader.fetch(heard));
+    task::spawn("configuration poll", Rc::clone(&fetcher).poll());
+    task::spawn("configuration fetch", fetcher.fetch(newer_versions));
     Ok(())
 }
 
 fn start_ports(
     table: &Rc<Table>,
     settings: &Settings,
-    life: &Life<Joining>,
+    lifecycle: &Life<Joining>,
     in_flight: &Rc<Cell<usize>>,
     [client, local, operator]: [Port; 3],
 ) -> Result<(), Error> {
     let client_port = Rc::new(ClientPort {
         policy: settings.tuning.admission.policy,
-        phase: life.watch(),
+        phase: lifecycle.watch(),
         configuration: table.find()?,
         dispatcher: table.find()?,
         accountant: table.find()?,
@@ -306,13 +317,13 @@
         upstream: table.find()?,
         admission: table.find()?,
         in_flight: Rc::clone(in_flight),
-        announced: Box::new(move || {
+        on_announcement: Box::new(move || {
             let maintenance = Rc::clone(&maintenance);
             task::spawn("announcement", async move { maintenance.refresh().await });
         }),
     });
-    let answers = table.install(operator_service(table, settings, life)?);
-    let operator_port = Rc::new(OperatorPort { operator: answers });
+    let service = table.install(operator_service(table, settings, lifecycle)?);
+    let operator_port = Rc::new(OperatorPort { operator: service });
     task::spawn("client port", serve(client, client_port));
     task::spawn("local port", serve(local, local_port));
     task::spawn("operator port", serve(operator, operator_port));
@@ -322,11 +333,11 @@
 fn operator_service(
     table: &Table,
     settings: &Settings,
-    life: &Life<Joining>,
+    lifecycle: &Life<Joining>,
 ) -> Result<Operator, Error> {
     Ok(Operator {
         identity: settings.identity.clone(),
-        phase: life.watch(),
+        phase: lifecycle.watch(),
         configuration: table.find()?,
         acceptor: table.find()?,
         platform: table.find()?,
--- a/crates/node/src/operator/change.rs
+++ b/crates/node/src/operator/change.rs
@@ -15,9 +15,9 @@
 use crate::operator::{Author, Operator, json};
 
 /// How long the members are asked whether they have a new version in force.
-const CONFIRM_TIME: Duration = Duration::from_secs(5);
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause between two rounds of asking.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(100);
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
 /// Names the version that a change is based on.
 const BASE: &str = "sailtrack-base";
 
@@ -37,7 +37,7 @@
             return Err(Refusal::NoChange);
         }
         Ok(self
-            .decide(author, base, command.to_string(), declaration)
+            .submit(author, base, command.to_string(), declaration)
             .await)
     }
 
@@ -47,7 +47,7 @@
         let text = std::str::from_utf8(&request.body).map_err(|_| Refusal::NotText)?;
         let declaration = Declaration::parse("declaration", text).map_err(Refusal::Declaration)?;
         let summary = "apply".to_owned();
-        Ok(self.decide(&author, base, summary, declaration).await)
+        Ok(self.submit(&author, base, summary, declaration).await)
     }
 
     /// Returns what became of a command that was given before.
@@ -62,11 +62,11 @@
             Some(change) => Acceptance::Accepted(change.version),
             None => self.acceptor.resolve(id, &operator, base).await,
         };
-        let told = match acceptance {
+        let shown = match acceptance {
             Acceptance::Conflict(..) => json!({"result": "not-accepted", "command": id}),
             other => body(id, &other, None),
         };
-        json(StatusCode::OK, &told)
+        json(StatusCode::OK, &shown)
     }
 
     fn find_in_history(&self, id: &str) -> Option<Change> {
@@ -82,21 +82,21 @@
         }
     }
 
-    async fn decide(
+    async fn submit(
         &self,
         author: &Author,
         base: ConfigVersion,
         summary: String,
         declaration: Declaration,
     ) -> Response {
-        let decision = Proposal {
+        let proposal = Proposal {
             command: author.command.clone(),
             operator: author.operator.clone(),
             base,
             summary,
             declaration,
         };
-        let acceptance = self.acceptor.accept(decision).await;
+        let acceptance = self.acceptor.accept(proposal).await;
         let status = match acceptance {
             Acceptance::Accepted(_) => StatusCode::OK,
             Acceptance::Conflict(..) => StatusCode::CONFLICT,
@@ -104,7 +104,7 @@
             Acceptance::Unknown => StatusCode::GATEWAY_TIMEOUT,
         };
         let in_force = match acceptance {
-            Acceptance::Accepted(version) => Some(self.confirm(version).await),
+            Acceptance::Accepted(version) => Some(self.await_activation(version).await),
             _ => None,
         };
         json(
@@ -114,15 +114,15 @@
     }
 
     /// Asks the members until all have the version in force, and returns who has it.
-    async fn confirm(&self, version: ConfigVersion) -> Value {
+    async fn await_activation(&self, version: ConfigVersion) -> Value {
         let started = Instant::now();
         self.gossip.spread().await;
         loop {
-            self.gossip.ask_versions().await;
-            sleep(CONFIRM_PAUSE).await;
+            self.gossip.query_versions().await;
+            sleep(CONFIRM_INTERVAL).await;
             let missing = self.missing(version);
             let total = self.membership.alive().len() + 1;
-            if missing.is_empty() || started.elapsed() >= CONFIRM_TIME {
+            if missing.is_empty() || started.elapsed() >= CONFIRM_TIMEOUT {
                 let names: Vec<String> = missing.iter().map(ToString::to_string).collect();
                 return json!({
                     "instances": total,
--- a/crates/node/src/operator/query.rs
+++ b/crates/node/src/operator/query.rs
@@ -100,14 +100,14 @@
     }
 
     fn upstreams(&self) -> Vec<Vec<String>> {
-        let me = self.membership.me();
+        let local_member = self.membership.local_member();
         let own = vec![
-            me.node.clone(),
-            me.service.clone(),
-            me.domain.clone(),
-            state_word(me.state()).to_owned(),
-            me.slots.to_string(),
-            me.address.clone(),
+            local_member.node.clone(),
+            local_member.service.clone(),
+            local_member.domain.clone(),
+            state_word(local_member.state()).to_owned(),
+            local_member.slots.to_string(),
+            local_member.address.clone(),
             self.configuration.version().to_string(),
         ];
         let all = self.membership.all();
@@ -146,7 +146,7 @@
     fn members_of(&self, service: &ServiceName) -> (usize, usize) {
         let all = self.membership.all();
         let others = all.iter().filter(|(peer, _)| peer.service == *service);
-        let own = self.membership.me();
+        let own = self.membership.local_member();
         let is_own = usize::from(own.service == service.as_str());
         let own_serving = usize::from(is_own == 1 && own.state() == State::Serving);
         let serving = self.membership.serving(service).len() + own_serving;
--- a/crates/node/src/peer/accept.rs
+++ b/crates/node/src/peer/accept.rs
@@ -25,12 +25,12 @@
 use crate::execute::Executor;
 use crate::membership::Membership;
 use crate::peer::convert::{answer_to_wire, call_from_wire, part_from_wire};
-use crate::peer::reassembly::CHUNK;
+use crate::peer::reassembly::CHUNK_SIZE;
 use crate::ticket::Tickets;
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
 /// How long a new connection may take to say hello.
-const HELLO_TIME: Duration = Duration::from_secs(2);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 /// The most calls open at once on one connection.
 const MAX_OPEN_CALLS: usize = 4096;
 /// The most connections open at once.
@@ -75,8 +75,8 @@
             let _ = write_frames(write, frames).await;
         });
         let mut reader = FrameReader::new(read);
-        let said = timeout(HELLO_TIME, reader.hello()).await;
-        let Ok(Ok(_)) = said else {
+        let greeting = timeout(HELLO_TIMEOUT, reader.hello()).await;
+        let Ok(Ok(_)) = greeting else {
             let reason = "no hello of this version";
             emit(
                 &catalogue::INPUT_REFUSED,
@@ -84,7 +84,11 @@
             );
             return;
         };
-        if outgoing.send(hello(self.membership.me())).await.is_err() {
+        if outgoing
+            .send(hello(self.membership.local_member()))
+            .await
+            .is_err()
+        {
             return;
         }
         let open = OpenCalls::default();
@@ -108,21 +112,21 @@
     ) -> Result<(), ConnectionError> {
         loop {
             match reader.next().await? {
-                Body::Call(message) => self.start(message, outgoing, open),
+                Body::Call(message) => self.start_call(message, outgoing, open),
                 Body::Cancel(cancel) => {
                     if let Some(call) = open.borrow_mut().remove(&cancel.exchange) {
                         call.abort();
                     }
                 }
-                Body::Fetch(fetch) => self.give_config(fetch, outgoing),
-                Body::Handover(handover) => self.receive(handover, outgoing),
+                Body::Fetch(fetch) => self.send_config(fetch, outgoing),
+                Body::Handover(handover) => self.receive_handover(handover, outgoing),
                 // Everything else is for the other direction or for the port of sailtrack-mesh.
                 _ => {}
             }
         }
     }
 
-    fn start(
+    fn start_call(
         self: &Rc<Self>,
         message: CallMessage,
         outgoing: &mpsc::Sender<Body>,
@@ -152,14 +156,14 @@
         }
         let entry = message.entry;
         match call_from_wire(message) {
-            Ok(call) if entry => self.enter(call).await,
+            Ok(call) if entry => self.account(call).await,
             Ok(call) => self.executor.execute(call).await,
             Err(_) => Answer::not_run(Reason::Undeclared),
         }
     }
 
     /// Accounts for a client's request, which is repeated as its kind is declared here.
-    async fn enter(&self, call: Call) -> Answer {
+    async fn account(&self, call: Call) -> Answer {
         let current = self.configuration.current();
         let kind = current.declaration.kind(&call.kind);
         let repeat = kind.map_or(call.repeat, |kind| kind.repeat);
@@ -167,11 +171,11 @@
     }
 
     /// Takes in what a node hands over, and says whether there was room.
-    fn receive(&self, handover: Handover, outgoing: &mpsc::Sender<Body>) {
+    fn receive_handover(&self, handover: Handover, outgoing: &mpsc::Sender<Body>) {
         let exchange = handover.exchange;
         let part = part_from_wire(handover);
-        let taken = part.is_ok_and(|part| self.tickets.receive(part, Instant::now()));
-        let answer = if taken {
+        let accepted = part.is_ok_and(|part| self.tickets.receive(part, Instant::now()));
+        let answer = if accepted {
             Answer::done(StatusCode::OK.as_u16(), String::new(), Bytes::new())
         } else {
             Answer::not_run(Reason::RecordsFull)
@@ -181,7 +185,7 @@
         let _ = outgoing.clone().try_send(Body::Answer(head));
     }
 
-    fn give_config(&self, fetch: Fetch, outgoing: &mpsc::Sender<Body>) {
+    fn send_config(&self, fetch: Fetch, outgoing: &mpsc::Sender<Body>) {
         let current = self.configuration.current();
         if current.number.0 <= fetch.version {
             return;
@@ -200,12 +204,12 @@
 async fn send_answer(outgoing: &mut mpsc::Sender<Body>, exchange: u64, answer: Answer) {
     let mut head = answer_to_wire(exchange, &answer);
     let mut rest = answer.body;
-    head.body = rest.split_to(rest.len().min(CHUNK));
+    head.body = rest.split_to(rest.len().min(CHUNK_SIZE));
     if outgoing.send(Body::Answer(head)).await.is_err() {
         return;
     }
     while !rest.is_empty() {
-        let data = rest.split_to(rest.len().min(CHUNK));
+        let data = rest.split_to(rest.len().min(CHUNK_SIZE));
         let chunk = Chunk {
             exchange,
             data,
--- a/crates/node/src/peer/convert.rs
+++ b/crates/node/src/peer/convert.rs
@@ -49,7 +49,8 @@
         rank: message.shedding_rank()?,
         path: message.path,
         allowance: Allowance(message.allowance),
-        deadline: Instant::now() + Duration::from_micros(message.time_left_us.min(DAY_US)),
+        deadline: Instant::now()
+            + Duration::from_micros(message.time_left_us.min(MAX_TIME_LEFT_US)),
         ticket,
         depth: message.hops,
         content_type: message.content_type,
@@ -58,7 +59,7 @@
 }
 
 /// The longest time left that is taken from a message, in microseconds.
-const DAY_US: u64 = 86_400_000_000;
+const MAX_TIME_LEFT_US: u64 = 86_400_000_000;
 
 /// Returns the head of the message for an answer, without its body.
 pub(crate) fn answer_to_wire(exchange: u64, answer: &Answer) -> wire::Answer {
@@ -96,19 +97,19 @@
 
 /// Returns the message for a part of what a node hands over.
 pub(crate) fn part_to_wire(exchange: u64, part: &Part) -> wire::Handover {
-    let kept = part.kept.iter().map(|kept| wire::Kept {
-        serial: kept.ticket.serial,
-        minted_ms: kept.ticket.minted.0,
+    let entries = part.entries.iter().map(|entry| wire::Kept {
+        serial: entry.ticket.serial,
+        minted_ms: entry.ticket.minted.0,
         answer: Some(wire::Answer {
-            body: kept.answer.body.clone(),
-            ..answer_to_wire(0, &kept.answer)
+            body: entry.answer.body.clone(),
+            ..answer_to_wire(0, &entry.answer)
         }),
     });
     wire::Handover {
         exchange,
         home: part.home.to_string(),
         incarnation: part.incarnation.0,
-        kept: kept.collect(),
+        kept: entries.collect(),
         total: part.total as u64,
     }
 }
@@ -117,7 +118,7 @@
 pub(crate) fn part_from_wire(message: wire::Handover) -> Result<Part, WireError> {
     let home: NodeName = message.home.parse()?;
     let incarnation = Incarnation(message.incarnation);
-    let kept = message.kept.into_iter().map(|kept| {
+    let entries = message.kept.into_iter().map(|kept| {
         let ticket = Ticket {
             home: home.clone(),
             incarnation,
@@ -130,9 +131,9 @@
             answer: answer_from_wire(answer),
         })
     });
-    let kept: Result<Vec<Entry>, WireError> = kept.collect();
+    let entries: Result<Vec<Entry>, WireError> = entries.collect();
     Ok(Part {
-        kept: kept?,
+        entries: entries?,
         home,
         incarnation,
         total: usize::try_from(message.total).unwrap_or(usize::MAX),
--- a/crates/node/src/peer/link.rs
+++ b/crates/node/src/peer/link.rs
@@ -25,7 +25,7 @@
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
 /// How long opening a connection may take.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Where a connection is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,8 +42,8 @@
     opened: Shared<oneshot::Receiver<()>>,
     outgoing: RefCell<Option<mpsc::Sender<Body>>>,
     pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
-    assembling: RefCell<HashMap<u64, Reassembly>>,
-    fetching: RefCell<Vec<oneshot::Sender<Config>>>,
+    reassembling: RefCell<HashMap<u64, Reassembly>>,
+    pending_fetches: RefCell<Vec<oneshot::Sender<Config>>>,
     next_exchange: Cell<u64>,
     metrics: Rc<Metrics>,
 }
@@ -64,15 +64,15 @@
             opened: ready.shared(),
             outgoing: RefCell::new(Some(outgoing)),
             pending: RefCell::default(),
-            assembling: RefCell::default(),
-            fetching: RefCell::default(),
+            reassembling: RefCell::default(),
+            pending_fetches: RefCell::default(),
             next_exchange: Cell::new(1),
             metrics,
         });
         let task_link = Rc::clone(&link);
         task::spawn("peer link", async move {
             let result = task_link.run(source, member, frames, opened).await;
-            task_link.end(result.err());
+            task_link.finish(result.err());
         });
         link
     }
@@ -87,7 +87,7 @@
     }
 
     /// Returns true if the link leads to this life of the peer at this address.
-    pub(crate) fn leads_to(&self, peer: &Peer) -> bool {
+    pub(crate) fn is_for(&self, peer: &Peer) -> bool {
         self.peer.incarnation == peer.incarnation && self.peer.address == peer.address
     }
 
@@ -106,14 +106,14 @@
         self.stage.set(Stage::Closed);
         *self.outgoing.borrow_mut() = None;
         self.pending.borrow_mut().clear();
-        self.fetching.borrow_mut().clear();
+        self.pending_fetches.borrow_mut().clear();
     }
 
     /// Sends a call and waits for its answer; dropping the future cancels the call.
     ///
     /// `entry` asks the other node to account for the request of a client.
     pub(crate) async fn call(&self, call: &Call, entry: bool) -> Answer {
-        let (exchange, receiver) = self.begin();
+        let (exchange, receiver) = self.open_exchange();
         let guard = CancelGuard {
             link: self,
             exchange,
@@ -132,7 +132,7 @@
     }
 
     /// Opens an exchange whose answer comes through the receiver.
-    fn begin(&self) -> (u64, oneshot::Receiver<Answer>) {
+    fn open_exchange(&self) -> (u64, oneshot::Receiver<Answer>) {
         let exchange = self.next_exchange.get();
         self.next_exchange.set(exchange + 1);
         let (sender, receiver) = oneshot::channel();
@@ -142,7 +142,7 @@
 
     /// Hands over a part of what is known about this life's tickets; returns true if it was taken.
     pub(crate) async fn hand_over(&self, part: &Part) -> bool {
-        let (exchange, receiver) = self.begin();
+        let (exchange, receiver) = self.open_exchange();
         if !self.send(Body::Handover(part_to_wire(exchange, part))) {
             return false;
         }
@@ -153,7 +153,7 @@
     /// Asks for the configuration if it is above `version`.
     pub(crate) async fn fetch(&self, version: ConfigVersion) -> Option<Config> {
         let (sender, receiver) = oneshot::channel();
-        self.fetching.borrow_mut().push(sender);
+        self.pending_fetches.borrow_mut().push(sender);
         if !self.send(Body::Fetch(Fetch { version: version.0 })) {
             return None;
         }
@@ -176,7 +176,7 @@
         frames: mpsc::Receiver<Body>,
         opened: oneshot::Sender<()>,
     ) -> Result<(), ConnectionError> {
-        let dialed = dial(self.peer.address, Some(source), CONNECT_TIME)
+        let dialed = dial(self.peer.address, Some(source), CONNECT_TIMEOUT)
             .await
             .map_err(ConnectionError::Dial)?;
         let (read, write) = dialed.stream.into_split();
@@ -190,12 +190,12 @@
     }
 
     /// Waits for the other side's hello, which shows that it can be reached, and tells it.
-    async fn greet(
+    async fn await_hello(
         &self,
         reader: &mut FrameReader,
         opened: oneshot::Sender<()>,
     ) -> Result<(), ConnectionError> {
-        match timeout(CONNECT_TIME, reader.hello()).await {
+        match timeout(CONNECT_TIMEOUT, reader.hello()).await {
             Err(_) => return Err(ConnectionError::Dial(DialError::Timeout)),
             Ok(hello) => hello?,
         };
@@ -211,12 +211,12 @@
         mut reader: FrameReader,
         opened: oneshot::Sender<()>,
     ) -> Result<(), ConnectionError> {
-        self.greet(&mut reader, opened).await?;
+        self.await_hello(&mut reader, opened).await?;
         loop {
             match reader.next().await? {
-                Body::Answer(answer) => self.take_head(answer),
-                Body::Chunk(chunk) => self.take_chunk(chunk.exchange, &chunk.data),
-                Body::Config(config) => self.take_config(&config),
+                Body::Answer(answer) => self.handle_answer(answer),
+                Body::Chunk(chunk) => self.handle_chunk(chunk.exchange, &chunk.data),
+                Body::Config(config) => self.handle_config(&config),
                 // Everything else is for the other direction or for the port of sailtrack-mesh.
                 _ => {}
             }
@@ -224,52 +224,54 @@
     }
 
     /// Takes the head of an answer; one that nobody waits for is dropped.
-    fn take_head(&self, head: sailtrack_wire::Answer) {
+    fn handle_answer(&self, head: sailtrack_wire::Answer) {
         let exchange = head.exchange;
         if !self.pending.borrow().contains_key(&exchange) {
             return;
         }
         match Reassembly::new(head) {
-            Some(reassembly) if reassembly.is_whole() => self.give(exchange, reassembly.finish()),
+            Some(reassembly) if reassembly.is_complete() => {
+                self.complete(exchange, reassembly.finish())
+            }
             Some(reassembly) => {
-                self.assembling.borrow_mut().insert(exchange, reassembly);
+                self.reassembling.borrow_mut().insert(exchange, reassembly);
             }
-            None => self.give(exchange, Answer::unknown(Reason::AnswerTooLarge)),
+            None => self.complete(exchange, Answer::unknown(Reason::AnswerTooLarge)),
         }
     }
 
-    fn take_chunk(&self, exchange: u64, data: &bytes::Bytes) {
-        let Some(mut reassembly) = self.assembling.borrow_mut().remove(&exchange) else {
+    fn handle_chunk(&self, exchange: u64, data: &bytes::Bytes) {
+        let Some(mut reassembly) = self.reassembling.borrow_mut().remove(&exchange) else {
             return;
         };
-        if !reassembly.add(data) {
-            self.give(exchange, Answer::unknown(Reason::AnswerTooLarge));
-        } else if reassembly.is_whole() {
-            self.give(exchange, reassembly.finish());
+        if !reassembly.append(data) {
+            self.complete(exchange, Answer::unknown(Reason::AnswerTooLarge));
+        } else if reassembly.is_complete() {
+            self.complete(exchange, reassembly.finish());
         } else {
-            self.assembling.borrow_mut().insert(exchange, reassembly);
+            self.reassembling.borrow_mut().insert(exchange, reassembly);
         }
     }
 
-    fn give(&self, exchange: u64, answer: Answer) {
-        if let Some(waiting) = self.pending.borrow_mut().remove(&exchange) {
+    fn complete(&self, exchange: u64, answer: Answer) {
+        if let Some(waiter) = self.pending.borrow_mut().remove(&exchange) {
             // The caller may have left.
-            let _ = waiting.send(answer);
+            let _ = waiter.send(answer);
         }
     }
 
-    fn take_config(&self, config: &Config) {
-        for waiting in self.fetching.borrow_mut().drain(..) {
+    fn handle_config(&self, config: &Config) {
+        for waiter in self.pending_fetches.borrow_mut().drain(..) {
             // The fetch may have timed out.
-            let _ = waiting.send(config.clone());
+            let _ = waiter.send(config.clone());
         }
     }
 
-    fn end(&self, error: Option<ConnectionError>) {
+    fn finish(&self, error: Option<ConnectionError>) {
         let was_open = self.stage.get() == Stage::Open;
         self.close();
         if let (true, Some(error)) = (was_open, error) {
-            self.metrics.note_peer_lost();
+            self.metrics.record_peer_lost();
             emit(
                 &catalogue::PEER_LOST,
                 &[("node", &self.peer.name), ("reason", &error)],
@@ -286,9 +288,9 @@
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        let waited = self.link.pending.borrow_mut().remove(&self.exchange);
-        self.link.assembling.borrow_mut().remove(&self.exchange);
-        if waited.is_some() {
+        let was_pending = self.link.pending.borrow_mut().remove(&self.exchange);
+        self.link.reassembling.borrow_mut().remove(&self.exchange);
+        if was_pending.is_some() {
             self.link.send(Body::Cancel(Cancel {
                 exchange: self.exchange,
             }));
--- a/crates/node/src/peer/mod.rs
+++ b/crates/node/src/peer/mod.rs
@@ -25,7 +25,7 @@
 use crate::ticket::Part;
 
 /// How long fetching a configuration may take.
-const FETCH_TIME: Duration = Duration::from_secs(1);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// How much longer than the callee's deadline an answer is waited for.
 const ANSWER_GRACE: Duration = Duration::from_millis(50);
 
@@ -67,8 +67,8 @@
         let Some(link) = self.link(peer).await else {
             return Answer::not_run(Reason::Connection);
         };
-        let patience = call.time_left() + ANSWER_GRACE;
-        match timeout(patience, link.call(call, entry)).await {
+        let max_wait = call.time_left() + ANSWER_GRACE;
+        match timeout(max_wait, link.call(call, entry)).await {
             Ok(answer) => answer,
             Err(_) => Answer {
                 used: call.allowance,
@@ -80,7 +80,7 @@
     /// Returns the configuration of a peer if it is above `version`.
     pub(crate) async fn fetch(&self, peer: &Peer, version: ConfigVersion) -> Option<Config> {
         let link = self.link(&Rc::new(peer.clone())).await?;
-        timeout(FETCH_TIME, link.fetch(version)).await.ok()?
+        timeout(FETCH_TIMEOUT, link.fetch(version)).await.ok()?
     }
 
     /// Hands over a part of what is known about this life's tickets to a peer; returns true if it
@@ -93,12 +93,12 @@
     }
 
     /// Opens a connection before it is needed.
-    pub(crate) async fn warm(&self, peer: &Rc<Peer>) {
+    pub(crate) async fn preconnect(&self, peer: &Rc<Peer>) {
         self.link(peer).await;
     }
 
     /// Closes the connection to a node that is held for dead.
-    pub(crate) fn drop_link(&self, name: &NodeName) {
+    pub(crate) fn disconnect(&self, name: &NodeName) {
         if let Some(link) = self.links.borrow_mut().remove(name) {
             link.close();
         }
@@ -113,12 +113,12 @@
     async fn link(&self, peer: &Rc<Peer>) -> Option<Rc<Link>> {
         let known = self.links.borrow().get(&peer.name).cloned();
         if let Some(link) = known {
-            if link.leads_to(peer) && link.is_usable() {
+            if link.is_for(peer) && link.is_usable() {
                 return link.ready().await.then_some(link);
             }
             link.close();
         }
-        let hello = self.membership.me();
+        let hello = self.membership.local_member();
         let link = Link::open(
             Rc::clone(peer),
             self.source,
--- a/crates/node/src/peer/reassembly.rs
+++ b/crates/node/src/peer/reassembly.rs
@@ -9,7 +9,7 @@
 /// The largest body of an answer; it equals the bound of the HTTP side.
 const MAX_BODY: usize = 8 * 1024 * 1024;
 /// The most bytes of a body that go into one frame.
-pub(crate) const CHUNK: usize = 64 * 1024;
+pub(crate) const CHUNK_SIZE: usize = 64 * 1024;
 
 /// An answer of which a part may still be missing.
 pub(crate) struct Reassembly {
@@ -34,7 +34,7 @@
     }
 
     /// Adds a chunk; returns false if the body becomes longer than was said.
-    pub(crate) fn add(&mut self, chunk: &Bytes) -> bool {
+    pub(crate) fn append(&mut self, chunk: &Bytes) -> bool {
         if self.body.len() + chunk.len() > self.length {
             return false;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Returns true once the whole body is there.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.body.len() == self.length
     }
 
--- a/crates/node/src/platform/backoff.rs
+++ b/crates/node/src/platform/backoff.rs
@@ -9,15 +9,15 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Backoff {
     first: Duration,
-    longest: Duration,
+    max: Duration,
     next: Duration,
 }
 
 impl Backoff {
-    pub(crate) fn new(first: Duration, longest: Duration) -> Self {
+    pub(crate) fn new(first: Duration, max: Duration) -> Self {
         Self {
             first,
-            longest,
+            max,
             next: first,
         }
     }
@@ -30,7 +30,7 @@
     /// Returns the pause after one more failure: from half of the present one to all of it.
     pub(crate) fn pause(&mut self, random: &mut impl Rng) -> Duration {
         let pause = self.next.mul_f64(random.random_range(0.5..1.0));
-        self.next = (self.next * 2).min(self.longest);
+        self.next = (self.next * 2).min(self.max);
         pause
     }
 }
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -24,7 +24,7 @@
 pub(crate) use row::{Row, Rows, Written};
 
 /// How long one operation may take.
-const OPERATION_TIME: Duration = Duration::from_secs(1);
+const OPERATION_TIMEOUT: Duration = Duration::from_secs(1);
 /// The most unused connections to the platform.
 const POOL_CAPACITY: usize = 4;
 /// Carries the version that a row must have for a write to take effect.
@@ -69,7 +69,7 @@
 /// The platform's table service.
 pub(crate) struct Platform {
     pool: Pool,
-    lost: Cell<bool>,
+    is_unreachable: Cell<bool>,
     operations: Cell<u64>,
 }
 
@@ -81,7 +81,7 @@
     pub(crate) fn new(address: SocketAddr, source: IpAddr) -> Self {
         Self {
             pool: Pool::new(address, Some(source), POOL_CAPACITY),
-            lost: Cell::new(false),
+            is_unreachable: Cell::new(false),
             operations: Cell::new(0),
         }
     }
@@ -118,7 +118,7 @@
     }
 
     /// Returns at most `limit` rows whose keys start with `prefix`, from the key `from` on.
-    pub(crate) async fn scan_some(
+    pub(crate) async fn scan_page(
         &self,
         prefix: &str,
         from: &str,
@@ -172,7 +172,7 @@
 
     /// Returns true if the last operation got an answer.
     pub(crate) fn is_reachable(&self) -> bool {
-        !self.lost.get()
+        !self.is_unreachable.get()
     }
 
     /// Returns how many operations were tried.
@@ -182,10 +182,10 @@
 
     async fn send(&self, request: Request) -> Result<Response, PlatformError> {
         self.operations.set(self.operations.get() + 1);
-        let deadline = Instant::now() + OPERATION_TIME;
+        let deadline = Instant::now() + OPERATION_TIMEOUT;
         let result = self.pool.exchange(request, deadline).await;
         let result = result.map_err(PlatformError::from);
-        self.note_result(result.as_ref().err().copied());
+        self.record_result(result.as_ref().err().copied());
         let response = result?;
         match response.status {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
@@ -195,9 +195,9 @@
         }
     }
 
-    fn note_result(&self, error: Option<PlatformError>) {
-        let was_lost = self.lost.replace(error.is_some());
-        match (was_lost, error) {
+    fn record_result(&self, error: Option<PlatformError>) {
+        let was_unreachable = self.is_unreachable.replace(error.is_some());
+        match (was_unreachable, error) {
             (false, Some(error)) => emit(&catalogue::PLATFORM_LOST, &[("reason", &error)]),
             (true, None) => emit(&catalogue::PLATFORM_FOUND, &[]),
             _ => {}
--- a/crates/node/src/platform/tests.rs
+++ b/crates/node/src/platform/tests.rs
@@ -8,19 +8,16 @@
 use crate::platform::Backoff;
 
 const FIRST: Duration = Duration::from_secs(1);
-const LONGEST: Duration = Duration::from_secs(8);
+const MAX: Duration = Duration::from_secs(8);
 
 #[test]
 fn pause_doubles() {
     let mut random = StdRng::seed_from_u64(1);
-    let mut backoff = Backoff::new(FIRST, LONGEST);
+    let mut backoff = Backoff::new(FIRST, MAX);
     for expected in [1, 2, 4, 8, 8] {
-        let greatest = Duration::from_secs(expected);
+        let max = Duration::from_secs(expected);
         let pause = backoff.pause(&mut random);
-        assert!(
-            (greatest / 2..=greatest).contains(&pause),
-            "{pause:?} of {greatest:?}"
-        );
+        assert!((max / 2..=max).contains(&pause), "{pause:?} of {max:?}");
     }
     backoff.reset();
     assert!(backoff.pause(&mut random) <= FIRST);
@@ -30,15 +27,18 @@
 fn outage_costs_little() {
     let mut random = StdRng::seed_from_u64(2);
     let outage = Duration::from_mins(10);
-    let mut tries = 0;
+    let mut attempts = 0;
     for _ in 0..560 {
-        let mut backoff = Backoff::new(FIRST, LONGEST);
+        let mut backoff = Backoff::new(FIRST, MAX);
         let mut passed = Duration::ZERO;
         while passed < outage {
             passed += backoff.pause(&mut random);
-            tries += 1;
+            attempts += 1;
         }
     }
-    let a_second = f64::from(tries) / outage.as_secs_f64();
-    assert!(a_second < 110.0, "{a_second} tries a second by 560 nodes");
+    let per_second = f64::from(attempts) / outage.as_secs_f64();
+    assert!(
+        per_second < 110.0,
+        "{per_second} attempts a second by 560 nodes"
+    );
 }
--- a/crates/node/src/port/client.rs
+++ b/crates/node/src/port/client.rs
@@ -45,9 +45,9 @@
 
 impl Handler for ClientPort {
     async fn handle(&self, request: Request) -> Response {
-        let held = Held::new(&self.in_flight);
+        let in_flight_guard = Held::new(&self.in_flight);
         let response = self.answer(request).await;
-        drop(held);
+        drop(in_flight_guard);
         response
     }
 
@@ -60,7 +60,7 @@
     async fn answer(&self, request: Request) -> Response {
         let current = self.configuration.current();
         if request.path == TICKETS {
-            return self.give_ticket(&request, &current.declaration);
+            return self.issue_ticket(&request, &current.declaration);
         }
         let kind = current
             .declaration
@@ -77,30 +77,31 @@
             Err(response) => return *response,
         };
         // Only its home can say of a ticketed request that it did not run.
-        if let (None, Some(reason)) = (&ticket, self.closed()) {
+        if let (None, Some(reason)) = (&ticket, self.unavailable_reason()) {
             return self.refuse(reason);
         }
         self.dispatch(request, &kind, ticket).await
     }
 
     async fn dispatch(&self, request: Request, kind: &Kind, ticket: Option<Ticket>) -> Response {
-        let traits = Profile::from(kind);
-        let (id, is_chosen) = request_id(&request);
-        let call = Builder::new(traits, kind.service.clone(), request)
+        let profile = Profile::from(kind);
+        let (id, is_client_chosen) = request_id(&request);
+        let call = Builder::new(profile, kind.service.clone(), request)
             .request(id)
             .ticket(ticket)
             .build();
         let ticket = call.ticket.clone();
-        let accounted = is_chosen && call.ticket.is_none() && self.policy == Policy::Adaptive;
-        let answer = if accounted {
-            self.accountant.request(call).await
+        let needs_accounting =
+            is_client_chosen && call.ticket.is_none() && self.policy == Policy::Adaptive;
+        let answer = if needs_accounting {
+            self.accountant.submit(call).await
         } else {
             let budget = Budget::new(call.allowance);
             self.dispatcher.dispatch(call, &budget).await
         };
         let answer = match ticket {
             Some(ticket) if answer.outcome == Outcome::Unknown => {
-                self.settled(&ticket, answer).await
+                self.apply_settlement(&ticket, answer).await
             }
             _ => answer,
         };
@@ -108,7 +109,7 @@
     }
 
     /// Returns what an operator settled about a request that nobody else knows about.
-    async fn settled(&self, ticket: &Ticket, answer: Answer) -> Answer {
+    async fn apply_settlement(&self, ticket: &Ticket, answer: Answer) -> Answer {
         if !matches!(answer.reason, Reason::HomeGone | Reason::TicketExpired) {
             return answer;
         }
@@ -129,7 +130,7 @@
     }
 
     /// Returns why the node takes no requests at present.
-    fn closed(&self) -> Option<Reason> {
+    fn unavailable_reason(&self) -> Option<Reason> {
         match self.phase.get() {
             Phase::Joining => Some(Reason::NotConfigured),
             Phase::Serving => None,
@@ -138,7 +139,12 @@
     }
 
     fn refuse(&self, reason: Reason) -> Response {
-        reply::response(&self.dispatcher.executor.later(Answer::not_run(reason)))
+        reply::response(
+            &self
+                .dispatcher
+                .executor
+                .retry_later(Answer::not_run(reason)),
+        )
     }
 
     /// Returns the ticket of a non-idempotent request, or the refusal of one without.
@@ -200,10 +206,10 @@
     /// Returns the answer for a key of which an earlier copy may have run.
     fn unresolved(&self) -> Response {
         let answer = Answer::unknown(Reason::Platform);
-        reply::response(&self.dispatcher.executor.later(answer))
+        reply::response(&self.dispatcher.executor.retry_later(answer))
     }
 
-    fn give_ticket(
+    fn issue_ticket(
         &self,
         request: &Request,
         declaration: &sailtrack_declaration::Declaration,
@@ -219,7 +225,7 @@
             let text = format!("{} must name a declared kind", header::KIND);
             return reply::not_run(StatusCode::BAD_REQUEST, &text);
         };
-        if let Some(reason) = self.closed() {
+        if let Some(reason) = self.unavailable_reason() {
             return self.refuse(reason);
         }
         match self.mint(kind) {
--- a/crates/node/src/port/incoming.rs
+++ b/crates/node/src/port/incoming.rs
@@ -56,11 +56,11 @@
 
 /// Returns the deadline that a request asks for, or the one declared for its kind.
 fn deadline(request: &Request, declared: Duration) -> Instant {
-    let asked = request
+    let requested = request
         .header(header::TIMEOUT)
         .and_then(|millis| millis.parse().ok())
         .map(|millis| Period::from_millis(millis).0);
-    let time = asked.map_or(declared, |asked| asked.min(declared));
+    let time = requested.map_or(declared, |requested| requested.min(declared));
     Instant::now() + time
 }
 
@@ -80,19 +80,19 @@
 
 impl Builder {
     /// Starts with a call to a service that begins a root request of its own.
-    pub(crate) fn new(traits: Profile, service: ServiceName, request: Request) -> Self {
+    pub(crate) fn new(profile: Profile, service: ServiceName, request: Request) -> Self {
         let id = RequestId::draw(&mut rand::rng());
         let call = Call {
             request: id,
-            root_kind: traits.name.clone(),
-            kind: traits.name,
-            repeat: traits.repeat,
+            root_kind: profile.name.clone(),
+            kind: profile.name,
+            repeat: profile.repeat,
             service,
             method: request.method.clone(),
             path: request.path.clone(),
-            rank: Rank::new(traits.importance, id),
-            allowance: traits.allowance,
-            deadline: deadline(&request, traits.timeout),
+            rank: Rank::new(profile.importance, id),
+            allowance: profile.allowance,
+            deadline: deadline(&request, profile.timeout),
             ticket: None,
             depth: 0,
             content_type: content_type(&request),
@@ -100,7 +100,7 @@
         };
         Self {
             call,
-            importance: traits.importance,
+            importance: profile.importance,
         }
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Makes it a call for an execution, which gives it its root request and its last deadline.
-    pub(crate) fn within(mut self, context: &Context) -> Self {
+    pub(crate) fn for_execution(mut self, context: &Context) -> Self {
         self.call.request = context.request;
         self.call.root_kind = context.root_kind.clone();
         self.call.rank = context.rank;
--- a/crates/node/src/port/local.rs
+++ b/crates/node/src/port/local.rs
@@ -42,23 +42,23 @@
     pub(crate) admission: Rc<Admission>,
     pub(crate) in_flight: Rc<Cell<usize>>,
     /// Called after each announcement.
-    pub(crate) announced: Box<dyn Fn()>,
+    pub(crate) on_announcement: Box<dyn Fn()>,
 }
 
 impl Handler for LocalPort {
     async fn handle(&self, request: Request) -> Response {
         if request.path == ANNOUNCE {
-            return self.take_announcement(&request);
+            return self.handle_announcement(&request);
         }
-        let held = Held::new(&self.in_flight);
-        let response = self.take_call(request).await;
-        drop(held);
+        let in_flight_guard = Held::new(&self.in_flight);
+        let response = self.handle_call(request).await;
+        drop(in_flight_guard);
         response
     }
 }
 
 impl LocalPort {
-    fn take_announcement(&self, request: &Request) -> Response {
+    fn handle_announcement(&self, request: &Request) -> Response {
         let announcement: Announcement = match serde_json::from_slice(&request.body) {
             Ok(announcement) => announcement,
             Err(error) => {
@@ -70,17 +70,17 @@
         let slots = announcement.slots;
         if self.upstream.announce(announcement, now) {
             self.admission.reset(now, slots);
-            let shown = slots.unwrap_or(0);
+            let slot_count = slots.unwrap_or(0);
             emit(
                 &catalogue::UPSTREAM_ANNOUNCED,
-                &[("service", &self.identity.service), ("slots", &shown)],
+                &[("service", &self.identity.service), ("slots", &slot_count)],
             );
         }
-        (self.announced)();
+        (self.on_announcement)();
         Response::new(StatusCode::NO_CONTENT, "")
     }
 
-    async fn take_call(&self, request: Request) -> Response {
+    async fn handle_call(&self, request: Request) -> Response {
         let service = request
             .header(header::SERVICE)
             .map(str::parse::<ServiceName>);
@@ -97,7 +97,7 @@
                 let answer = self.call_within(&context, service, request).await;
                 reply::response(&answer)
             }
-            None => self.call_from_outside(service, request).await,
+            None => self.call_without_context(service, request).await,
         }
     }
 
@@ -108,32 +108,37 @@
         service: ServiceName,
         request: Request,
     ) -> Answer {
-        let Some(traits) = self.traits(&service, &request) else {
+        let Some(profile) = self.profile(&service, &request) else {
             return Answer::not_run(Reason::Undeclared);
         };
-        let key = identity(&service, &request);
-        let call = Builder::new(traits, service, request)
-            .within(context)
+        let key = subcall_key(&service, &request);
+        let call = Builder::new(profile, service, request)
+            .for_execution(context)
             .build();
-        let outside = context.step_outside();
+        let subcall_guard = context.begin_subcall();
         let answer = match (self.policy, call.repeat) {
-            (Policy::Adaptive, Repeat::Never) => self.call_once(context, key, call).await,
-            (Policy::Adaptive, _) => self.call_bounded(context, key, call).await,
+            (Policy::Adaptive, Repeat::Never) => self.call_at_most_once(context, key, call).await,
+            (Policy::Adaptive, _) => self.call_within_budget(context, key, call).await,
             _ => self.dispatcher.dispatch(call, &context.budget).await,
         };
-        drop(outside);
-        context.note_answer(&answer);
+        drop(subcall_guard);
+        context.record_answer(&answer);
         answer
     }
 
     /// Makes a call unless it is a retry for which nothing is left.
-    async fn call_bounded(&self, context: &Rc<Context>, key: SubcallKey, call: Call) -> Answer {
-        if !context.may_call(&key) {
+    async fn call_within_budget(
+        &self,
+        context: &Rc<Context>,
+        key: SubcallKey,
+        call: Call,
+    ) -> Answer {
+        if !context.register_call(&key) {
             return Answer::not_run(Reason::Allowance);
         }
         let answer = self.dispatcher.dispatch(call, &context.budget).await;
         if !answer.is_success() {
-            context.note_failed(key);
+            context.record_failed_call(key);
         }
         answer
     }
@@ -142,30 +147,35 @@
     ///
     /// It goes on in a task of its own when the upstream stops waiting. Only a
     /// call that certainly did not run is made again.
-    async fn call_once(&self, context: &Rc<Context>, key: SubcallKey, call: Call) -> Answer {
-        let earlier = context.once.borrow().get(&key).cloned();
-        if let Some(earlier) = earlier {
-            let answer = earlier.await;
+    async fn call_at_most_once(
+        &self,
+        context: &Rc<Context>,
+        key: SubcallKey,
+        call: Call,
+    ) -> Answer {
+        let previous = context.once.borrow().get(&key).cloned();
+        if let Some(previous) = previous {
+            let answer = previous.await;
             if answer.outcome != Outcome::NotRun {
                 return answer;
             }
         }
-        if !context.may_call(&key) {
+        if !context.register_call(&key) {
             return Answer::not_run(Reason::Allowance);
         }
-        let shared = self.start_once(context, call);
+        let shared = self.start_at_most_once(context, call);
         context
             .once
             .borrow_mut()
             .insert(key.clone(), shared.clone());
         let answer = shared.await;
         if answer.outcome == Outcome::NotRun {
-            context.note_failed(key);
+            context.record_failed_call(key);
         }
         answer
     }
 
-    fn start_once(&self, context: &Rc<Context>, call: Call) -> SharedAnswer {
+    fn start_at_most_once(&self, context: &Rc<Context>, call: Call) -> SharedAnswer {
         let (sender, receiver) = oneshot::channel();
         let dispatcher = Rc::clone(&self.dispatcher);
         let budget = context.budget.clone();
@@ -180,16 +190,16 @@
     }
 
     /// Makes a call that belongs to no request, such as one of a timer in the upstream.
-    async fn call_from_outside(&self, service: ServiceName, request: Request) -> Response {
-        let Some(traits) = self.traits(&service, &request) else {
+    async fn call_without_context(&self, service: ServiceName, request: Request) -> Response {
+        let Some(profile) = self.profile(&service, &request) else {
             return reply::response(&Answer::not_run(Reason::Undeclared));
         };
-        let call = Builder::new(traits, service, request).build();
+        let call = Builder::new(profile, service, request).build();
         let budget = Budget::new(call.allowance);
         reply::response(&self.dispatcher.dispatch(call, &budget).await)
     }
 
-    fn traits(&self, service: &ServiceName, request: &Request) -> Option<Profile> {
+    fn profile(&self, service: &ServiceName, request: &Request) -> Option<Profile> {
         let current = self.configuration.current();
         let kind = current
             .declaration
@@ -201,7 +211,7 @@
 /// Returns what makes a call the same as another one made for the same execution.
 ///
 /// A key chosen by the upstream decides; without one it is the whole content.
-fn identity(service: &ServiceName, request: &Request) -> SubcallKey {
+fn subcall_key(service: &ServiceName, request: &Request) -> SubcallKey {
     let mut hash = Xxh3::new();
     hash.update(service.as_str().as_bytes());
     hash.update(request.method.as_str().as_bytes());
--- a/crates/node/src/retry/budget.rs
+++ b/crates/node/src/retry/budget.rs
@@ -16,46 +16,46 @@
 
 #[derive(Debug)]
 struct Inner {
-    left: Cell<u32>,
-    brought: u32,
+    remaining: Cell<u32>,
+    initial: u32,
 }
 
 impl Budget {
     pub(crate) fn new(allowance: Allowance) -> Self {
         Self {
             inner: Rc::new(Inner {
-                left: Cell::new(allowance.0),
-                brought: allowance.0,
+                remaining: Cell::new(allowance.0),
+                initial: allowance.0,
             }),
         }
     }
 
     /// Takes one retry out; returns false if none is left.
     pub(crate) fn spend(&self) -> bool {
-        let left = self.inner.left.get();
-        if left == 0 {
+        let remaining = self.inner.remaining.get();
+        if remaining == 0 {
             return false;
         }
-        self.inner.left.set(left - 1);
+        self.inner.remaining.set(remaining - 1);
         true
     }
 
     /// Lends half of what is left, rounded up, to one call.
     ///
     /// What the call does not give back counts as spent.
-    pub(crate) fn lend(&self) -> Reservation {
-        let available = self.inner.left.get();
-        let lent = available.div_ceil(2);
-        self.inner.left.set(available - lent);
+    pub(crate) fn reserve(&self) -> Reservation {
+        let available = self.inner.remaining.get();
+        let reserved = available.div_ceil(2);
+        self.inner.remaining.set(available - reserved);
         Reservation {
             budget: self.clone(),
-            lent,
+            reserved,
         }
     }
 
     /// Returns what has been used up, with what is still lent out.
     pub(crate) fn used(&self) -> Allowance {
-        Allowance(self.inner.brought - self.inner.left.get())
+        Allowance(self.inner.initial - self.inner.remaining.get())
     }
 }
 
@@ -63,19 +63,19 @@
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: Budget,
-    lent: u32,
+    reserved: u32,
 }
 
 impl Reservation {
     /// Returns the allowance that the call may use.
     pub(crate) fn amount(&self) -> Allowance {
-        Allowance(self.lent)
+        Allowance(self.reserved)
     }
 
     /// Puts back what the call says that it did not use.
-    pub(crate) fn give_back(self, used: Allowance) {
-        let unused = self.lent.saturating_sub(used.0);
-        let left = self.budget.inner.left.get();
-        self.budget.inner.left.set(left + unused);
+    pub(crate) fn refund(self, used: Allowance) {
+        let unused = self.reserved.saturating_sub(used.0);
+        let remaining = self.budget.inner.remaining.get();
+        self.budget.inner.remaining.set(remaining + unused);
     }
 }
--- a/crates/node/src/retry/limiter.rs
+++ b/crates/node/src/retry/limiter.rs
@@ -11,7 +11,7 @@
 
 /// A token bucket for each service, filled by successes and emptied by retries.
 pub(crate) struct Limiter {
-    share: Ratio,
+    ratio: Ratio,
     tokens: RefCell<BTreeMap<ServiceName, f64>>,
 }
 
@@ -20,29 +20,29 @@
 }
 
 impl Limiter {
-    pub(crate) fn new(share: Ratio) -> Self {
+    pub(crate) fn new(ratio: Ratio) -> Self {
         Self {
-            share,
+            ratio,
             tokens: RefCell::default(),
         }
     }
 
     /// Notes a success, which allows for a part of a retry.
-    pub(crate) fn note_success(&self, service: &ServiceName) {
+    pub(crate) fn record_success(&self, service: &ServiceName) {
         let mut tokens = self.tokens.borrow_mut();
-        if let Some(saved) = tokens.get_mut(service) {
-            *saved = (*saved + self.share.0).min(MAX_TOKENS);
+        if let Some(available) = tokens.get_mut(service) {
+            *available = (*available + self.ratio.0).min(MAX_TOKENS);
         }
     }
 
     /// Takes one retry; returns false if retries have used up their share.
-    pub(crate) fn take(&self, service: &ServiceName) -> bool {
+    pub(crate) fn try_acquire(&self, service: &ServiceName) -> bool {
         let mut tokens = self.tokens.borrow_mut();
-        let saved = tokens.entry(service.clone()).or_insert(MAX_TOKENS);
-        if *saved < 1.0 {
+        let available = tokens.entry(service.clone()).or_insert(MAX_TOKENS);
+        if *available < 1.0 {
             return false;
         }
-        *saved -= 1.0;
+        *available -= 1.0;
         true
     }
 }
--- a/crates/node/src/routing/downstream.rs
+++ b/crates/node/src/routing/downstream.rs
@@ -21,13 +21,13 @@
 
 impl Downstream {
     /// Notes the highest level that an execution met.
-    pub(crate) fn note(&self, now: Instant, root_kind: &KindName, level: Rank) {
-        let decay = Level::new(level, now);
+    pub(crate) fn record(&self, now: Instant, root_kind: &KindName, level: Rank) {
+        let reported = Level::new(level, now);
         let mut levels = self.levels.borrow_mut();
         match levels.get_mut(root_kind) {
-            Some(known) => *known = decay,
+            Some(entry) => *entry = reported,
             None => {
-                levels.insert(root_kind.clone(), decay);
+                levels.insert(root_kind.clone(), reported);
             }
         }
     }
--- a/crates/node/src/routing/mod.rs
+++ b/crates/node/src/routing/mod.rs
@@ -27,11 +27,11 @@
 use sailtrack_settings::Identity;
 
 /// The most members of one service that a node sends calls to.
-const SUBSET: usize = 8;
+const SUBSET_SIZE: usize = 8;
 /// The slots assumed of a member that has not said how many it has.
-const UNKNOWN_SLOTS: f64 = 20.0;
+const DEFAULT_SLOTS: f64 = 20.0;
 /// How many nodes a node hands its answers over to when it stops.
-const SUCCESSORS: usize = 2;
+const SUCCESSOR_COUNT: usize = 2;
 /// A member of another failure domain is preferred if it is emptier by this share of its limit.
 const SPILL_MARGIN: f64 = 0.25;
 
@@ -46,7 +46,7 @@
 
 impl Target {
     /// Returns true if the target is the node with this name.
-    fn is(&self, name: &NodeName, own: &NodeName) -> bool {
+    fn is_node(&self, name: &NodeName, own: &NodeName) -> bool {
         match self {
             Self::Local => name == own,
             Self::Remote(peer) => peer.name == *name,
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoTarget {
     /// No member of the service can be reached.
-    Nobody,
+    Unreachable,
     /// Every member refuses calls of this rank; this is the lowest rank admitted.
     Overload(Rank),
 }
@@ -90,28 +90,31 @@
     /// Returns a target for the call that is not among those `tried`.
     pub(crate) fn choose(&self, call: &Call, tried: &[NodeName]) -> Result<Target, NoTarget> {
         let now = Instant::now();
-        let near = self.candidates(call, tried, true, now);
+        let same_domain = self.candidates(call, tried, true, now);
         if self.policy != Policy::Adaptive {
-            let all = if near.is_empty() {
+            let all = if same_domain.is_empty() {
                 self.candidates(call, tried, false, now)
             } else {
-                near
+                same_domain
             };
-            return pick_plain(&all).ok_or(NoTarget::Nobody);
+            return pick_baseline(&all).ok_or(NoTarget::Unreachable);
         }
-        let best_near = pick(&near, call.rank);
-        if let Some(best) = best_near
+        let best_same_domain = pick_least_loaded(&same_domain, call.rank);
+        if let Some(best) = best_same_domain
             && best.pressure < Pressure::FULL
         {
             return Ok(best.target.clone());
         }
-        let far = self.candidates(call, tried, false, now);
-        let best_far = pick(&far, call.rank);
-        if let Some(best) = nearer(best_near, best_far) {
+        let other_domains = self.candidates(call, tried, false, now);
+        let best_other_domain = pick_least_loaded(&other_domains, call.rank);
+        if let Some(best) = prefer_same_domain(best_same_domain, best_other_domain) {
             return Ok(best.target.clone());
         }
-        let levels = near.iter().chain(&far).map(|candidate| candidate.level);
-        levels.min().map_or(Err(NoTarget::Nobody), |level| {
+        let levels = same_domain
+            .iter()
+            .chain(&other_domains)
+            .map(|candidate| candidate.level);
+        levels.min().map_or(Err(NoTarget::Unreachable), |level| {
             Err(NoTarget::Overload(level))
         })
     }
@@ -124,16 +127,16 @@
         }
         let peers = self.membership.serving(service);
         let usable =
-            |peer: &&Rc<Peer>| !self.is_drained(&peer.name) && !self.is_out(&peer.name, now);
-        let near: Vec<&Rc<Peer>> = peers
+            |peer: &&Rc<Peer>| !self.is_drained(&peer.name) && !self.is_ejected(&peer.name, now);
+        let same_domain: Vec<&Rc<Peer>> = peers
             .iter()
             .filter(usable)
             .filter(|peer| peer.domain == self.identity.domain)
             .collect();
-        let any: Vec<&Rc<Peer>> = peers.iter().filter(usable).collect();
-        let chosen = near
+        let all_usable: Vec<&Rc<Peer>> = peers.iter().filter(usable).collect();
+        let chosen = same_domain
             .choose(&mut rand::rng())
-            .or(any.choose(&mut rand::rng()));
+            .or(all_usable.choose(&mut rand::rng()));
         chosen.map(|peer| Target::Remote(Rc::clone(peer)))
     }
 
@@ -147,11 +150,11 @@
     ) -> Option<Target> {
         let now = Instant::now();
         let peers = self.membership.serving(service);
-        let near = peers
+        let same_domain = peers
             .iter()
             .filter(|peer| peer.domain == self.identity.domain);
-        let usable =
-            near.filter(|peer| !self.is_drained(&peer.name) && !self.is_out(&peer.name, now));
+        let usable = same_domain
+            .filter(|peer| !self.is_drained(&peer.name) && !self.is_ejected(&peer.name, now));
         let remote =
             usable.map(|peer| (weight(&peer.name, request), Target::Remote(Rc::clone(peer))));
         let is_local = self.is_local(service, now);
@@ -166,26 +169,26 @@
     /// Every node that knows the same members of the service returns the same ones.
     pub(crate) fn successors(&self, service: &ServiceName, ticket: &Ticket) -> Vec<Target> {
         let seed = xxh3_64(ticket.home.as_str().as_bytes()) ^ ticket.incarnation.0;
-        let weigh = |name: &NodeName| xxh3_64_with_seed(name.as_str().as_bytes(), seed);
+        let weight_of = |name: &NodeName| xxh3_64_with_seed(name.as_str().as_bytes(), seed);
         let peers = self.membership.serving(service);
         let others = peers.iter().filter(|peer| peer.name != ticket.home);
-        let remote = others.map(|peer| (weigh(&peer.name), Target::Remote(Rc::clone(peer))));
+        let remote = others.map(|peer| (weight_of(&peer.name), Target::Remote(Rc::clone(peer))));
         let own = &self.identity.name;
         let is_successor = *own != ticket.home && self.is_local(service, Instant::now());
-        let local = is_successor.then(|| (weigh(own), Target::Local));
+        let local = is_successor.then(|| (weight_of(own), Target::Local));
         let mut all: Vec<(u64, Target)> = remote.chain(local).collect();
         all.sort_by_key(|(weight, _)| Reverse(*weight));
-        all.truncate(SUCCESSORS);
+        all.truncate(SUCCESSOR_COUNT);
         all.into_iter().map(|(_, target)| target).collect()
     }
 
-    fn is_out(&self, name: &NodeName, now: Instant) -> bool {
+    fn is_ejected(&self, name: &NodeName, now: Instant) -> bool {
         let loads = self.loads.borrow();
         loads.get(name).is_some_and(|load| load.is_ejected(now))
     }
 
     /// Notes that a call goes to a target; the guard notes its end.
-    pub(crate) fn begin(self: &Rc<Self>, target: &Target) -> Outstanding {
+    pub(crate) fn track(self: &Rc<Self>, target: &Target) -> Outstanding {
         let name = match target {
             Target::Local => None,
             Target::Remote(peer) => Some(peer.name.clone()),
@@ -200,12 +203,14 @@
     }
 
     /// Notes what the answer of a target says about it.
-    pub(crate) fn note_answer(&self, target: &Target, root_kind: &KindName, answer: &Answer) {
+    pub(crate) fn record_answer(&self, target: &Target, root_kind: &KindName, answer: &Answer) {
         let Target::Remote(peer) = target else {
             return;
         };
         let now = Instant::now();
-        self.with_load(&peer.name, |load| load.note_answer(now, root_kind, answer));
+        self.with_load(&peer.name, |load| {
+            load.record_answer(now, root_kind, answer)
+        });
     }
 
     /// Returns the lowest rank that some member of the service admits, as far as is known.
@@ -253,29 +258,29 @@
         &self,
         call: &Call,
         tried: &[NodeName],
-        near: bool,
+        same_domain: bool,
         now: Instant,
     ) -> Vec<Candidate> {
         let mut candidates = Vec::new();
-        if near && self.is_local(&call.service, now) {
+        if same_domain && self.is_local(&call.service, now) {
             candidates.push(self.local(call, now));
         }
         let peers = self.membership.serving(&call.service);
-        let wanted = peers.iter().filter(|peer| {
-            (peer.domain == self.identity.domain) == near && !self.is_drained(&peer.name)
+        let selected = peers.iter().filter(|peer| {
+            (peer.domain == self.identity.domain) == same_domain && !self.is_drained(&peer.name)
         });
-        let mut wanted: Vec<&Rc<Peer>> = wanted.collect();
-        if wanted.len() > SUBSET {
-            wanted.sort_by_key(|peer| self.affinity(&peer.name));
-            wanted.truncate(SUBSET);
+        let mut selected: Vec<&Rc<Peer>> = selected.collect();
+        if selected.len() > SUBSET_SIZE {
+            selected.sort_by_key(|peer| self.affinity(&peer.name));
+            selected.truncate(SUBSET_SIZE);
         }
         let loads = self.loads.borrow();
-        for peer in wanted {
+        for peer in selected {
             candidates.extend(remote(peer, loads.get(&peer.name), call, now));
         }
         candidates.retain(|candidate| {
             let own = &self.identity.name;
-            !tried.iter().any(|name| candidate.target.is(name, own))
+            !tried.iter().any(|name| candidate.target.is_node(name, own))
         });
         candidates
     }
@@ -294,23 +299,23 @@
         }
     }
 
-    fn with_load(&self, name: &NodeName, change: impl FnOnce(&mut PeerLoad)) {
+    fn with_load(&self, name: &NodeName, update: impl FnOnce(&mut PeerLoad)) {
         let mut loads = self.loads.borrow_mut();
-        change(loads.entry(name.clone()).or_default());
+        update(loads.entry(name.clone()).or_default());
     }
 }
 
 /// Returns the better of two random candidates that admit the rank.
-fn pick(candidates: &[Candidate], rank: Rank) -> Option<&Candidate> {
+fn pick_least_loaded(candidates: &[Candidate], rank: Rank) -> Option<&Candidate> {
     let admitting: Vec<&Candidate> = candidates
         .iter()
         .filter(|candidate| candidate.level <= rank)
         .collect();
-    let idle_here = admitting.iter().find(|candidate| {
+    let idle_local = admitting.iter().find(|candidate| {
         matches!(candidate.target, Target::Local) && candidate.pressure < Pressure::FULL
     });
-    if let Some(here) = idle_here {
-        return Some(here);
+    if let Some(local) = idle_local {
+        return Some(local);
     }
     let two = admitting.choose_multiple(&mut rand::rng(), 2).copied();
     two.min_by(|one, other| one.pressure.0.total_cmp(&other.pressure.0))
@@ -318,15 +323,22 @@
 
 /// Returns the candidate of the own failure domain, unless the other one is so much less
 /// full that it is worth the distance.
-fn nearer<'a>(near: Option<&'a Candidate>, far: Option<&'a Candidate>) -> Option<&'a Candidate> {
-    match (near, far) {
-        (Some(near), Some(far)) if far.pressure.0 + SPILL_MARGIN < near.pressure.0 => Some(far),
-        (near, far) => near.or(far),
+fn prefer_same_domain<'a>(
+    same_domain: Option<&'a Candidate>,
+    other_domains: Option<&'a Candidate>,
+) -> Option<&'a Candidate> {
+    match (same_domain, other_domains) {
+        (Some(same_domain), Some(other_domains))
+            if other_domains.pressure.0 + SPILL_MARGIN < same_domain.pressure.0 =>
+        {
+            Some(other_domains)
+        }
+        (same_domain, other_domains) => same_domain.or(other_domains),
     }
 }
 
 /// Returns a target as the baselines choose it: here if possible, else at random.
-fn pick_plain(candidates: &[Candidate]) -> Option<Target> {
+fn pick_baseline(candidates: &[Candidate]) -> Option<Target> {
     if let Some(first) = candidates.first()
         && matches!(first.target, Target::Local)
     {
@@ -346,7 +358,7 @@
     now: Instant,
 ) -> Option<Candidate> {
     let slots = if peer.slots == 0 {
-        UNKNOWN_SLOTS
+        DEFAULT_SLOTS
     } else {
         f64::from(peer.slots)
     };
--- a/crates/node/src/routing/peer_load.rs
+++ b/crates/node/src/routing/peer_load.rs
@@ -15,7 +15,7 @@
 /// How long a member is ejected the first time; each further time doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 /// The longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(8);
+const MAX_EJECTION: Duration = Duration::from_secs(8);
 
 /// What a node has learned about one member.
 #[derive(Debug, Default)]
@@ -38,17 +38,19 @@
 
     /// Returns how full the member is, as far as is known; it has this many slots.
     pub(crate) fn pressure(&self, now: Instant, slots: f64) -> Pressure {
-        let own = Pressure(f64::from(self.outstanding) / slots);
-        let told = self.pressure.map_or(Pressure::default(), |(told, heard)| {
-            told.decayed(heard, now)
-        });
-        told.max(own)
+        let local = Pressure(f64::from(self.outstanding) / slots);
+        let reported = self
+            .pressure
+            .map_or(Pressure::default(), |(reported, reported_at)| {
+                reported.decayed(reported_at, now)
+            });
+        reported.max(local)
     }
 
     /// Notes what an answer says about the member.
-    pub(crate) fn note_answer(&mut self, now: Instant, root_kind: &KindName, answer: &Answer) {
+    pub(crate) fn record_answer(&mut self, now: Instant, root_kind: &KindName, answer: &Answer) {
         if is_failure(answer) {
-            self.note_failure(now, answer.reason == Reason::Connection);
+            self.record_failure(now, answer.reason == Reason::Connection);
             return;
         }
         self.pressure = Some((answer.pressure, now));
@@ -74,13 +76,13 @@
         }
     }
 
-    fn note_failure(&mut self, now: Instant, unreachable: bool) {
+    fn record_failure(&mut self, now: Instant, unreachable: bool) {
         self.failures += 1;
         if !unreachable && self.failures < FAILURES_TO_EJECT {
             return;
         }
         let doublings = self.ejections.min(4);
-        let length = (FIRST_EJECTION * 2u32.pow(doublings)).min(LONGEST_EJECTION);
+        let length = (FIRST_EJECTION * 2u32.pow(doublings)).min(MAX_EJECTION);
         self.ejected_until = Some(now + length);
         self.ejections += 1;
         self.failures = 0;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -13,7 +13,7 @@
 const PERIOD: &str = "a period such as 250ms, 5s or 10m";
 
 /// A call for a request in progress waits this many times longer than a new one.
-const BEGUN_PATIENCE: u32 = 2;
+const NESTED_QUEUE_TIME_FACTOR: u32 = 2;
 
 /// The addresses on which the node listens.
 #[derive(Debug, Clone, Copy)]
@@ -48,7 +48,7 @@
     /// The share of calls that retries may add.
     pub(crate) retry_ratio: Ratio,
     /// How long a ticket can be used.
-    pub(crate) ticket_life: Period,
+    pub(crate) ticket_lifetime: Period,
     /// The most memory for the answers of finished tickets.
     pub(crate) ticket_memory: ByteSize,
 }
@@ -61,9 +61,9 @@
     /// How long an answer to a probe may take.
     pub(crate) timeout: Period,
     /// How long a suspected node may take to answer for itself.
-    pub(crate) suspicion: Period,
+    pub(crate) suspicion_timeout: Period,
     /// How long a dead node is remembered and looked for.
-    pub(crate) forget: Period,
+    pub(crate) retention: Period,
 }
 
 /// First contacts for a node that starts while the platform is down.
@@ -88,9 +88,9 @@
         let identity = Identity::read(&document.section("node"));
         let ports = read_ports(&document.section("ports"));
         let platform = read_platform(&document.section("platform"));
-        let tuning = read_rules(&document.optional_section("policy"));
+        let tuning = read_tuning(&document.optional_section("policy"));
         let membership = document.optional_section("membership");
-        let detector = read_watch(&membership);
+        let detector = read_detector(&membership);
         let seeds = membership.list("seeds", ADDRESS);
         drop(membership);
         let log = document.optional_section("log");
@@ -138,27 +138,27 @@
     })
 }
 
-fn read_rules(section: &Section<'_>) -> Tuning {
+fn read_tuning(section: &Section<'_>) -> Tuning {
     let queue_time = section.or("queue-time", Period::from_millis(100), PERIOD);
     Tuning {
         admission: admission::Config {
             policy: section.or("mode", Policy::Adaptive, "forward, fixed or adaptive"),
             fixed_limit: section.ranged("fixed-limit", 100, 1..=100_000),
             queue_time,
-            nested_queue_time: Period(queue_time.0 * BEGUN_PATIENCE),
+            nested_queue_time: Period(queue_time.0 * NESTED_QUEUE_TIME_FACTOR),
             warm_up: section.or("warm-up", Period::from_millis(2000), PERIOD),
         },
         retry_ratio: section.or("retry-ratio", Ratio(0.1), "from 0 to 1"),
-        ticket_life: section.or("ticket-life", Period::from_millis(300_000), PERIOD),
+        ticket_lifetime: section.or("ticket-life", Period::from_millis(300_000), PERIOD),
         ticket_memory: section.or("ticket-memory", ByteSize(16 << 20), "such as 16MiB"),
     }
 }
 
-fn read_watch(section: &Section<'_>) -> Detector {
+fn read_detector(section: &Section<'_>) -> Detector {
     Detector {
         period: section.or("period", Period::from_millis(500), PERIOD),
         timeout: section.or("timeout", Period::from_millis(200), PERIOD),
-        suspicion: section.or("suspicion", Period::from_millis(1500), PERIOD),
-        forget: section.or("forget", Period::from_millis(600_000), PERIOD),
+        suspicion_timeout: section.or("suspicion", Period::from_millis(1500), PERIOD),
+        retention: section.or("forget", Period::from_millis(600_000), PERIOD),
     }
 }
--- a/crates/node/src/ticket/builder.rs
+++ b/crates/node/src/ticket/builder.rs
@@ -8,7 +8,7 @@
 use crate::ticket::Tickets;
 
 /// How long a ticket can be used if nothing is said.
-const DEFAULT_LIFE: Duration = Duration::from_mins(5);
+const DEFAULT_LIFETIME: Duration = Duration::from_mins(5);
 /// The most memory for tickets if nothing is said.
 const DEFAULT_MEMORY: ByteSize = ByteSize(16 << 20);
 
@@ -16,7 +16,7 @@
 pub(crate) struct Builder {
     home: NodeName,
     incarnation: Incarnation,
-    life: Duration,
+    lifetime: Duration,
     memory: ByteSize,
 }
 
@@ -25,14 +25,14 @@
         Self {
             home,
             incarnation,
-            life: DEFAULT_LIFE,
+            lifetime: DEFAULT_LIFETIME,
             memory: DEFAULT_MEMORY,
         }
     }
 
     /// Sets how long a ticket can be used.
-    pub(crate) fn life(self, life: Duration) -> Self {
-        Self { life, ..self }
+    pub(crate) fn lifetime(self, lifetime: Duration) -> Self {
+        Self { lifetime, ..self }
     }
 
     /// Sets the most memory for remembered tickets and their answers.
@@ -45,12 +45,12 @@
         Tickets {
             home: self.home,
             incarnation: self.incarnation,
-            life: self.life,
+            lifetime: self.lifetime,
             memory: self.memory,
             clock: Clock::default(),
             records: RefCell::default(),
-            by_age: RefCell::default(),
-            used: Cell::new(0),
+            by_arrival: RefCell::default(),
+            used_bytes: Cell::new(0),
             archive: RefCell::default(),
         }
     }
--- a/crates/node/src/ticket/handover.rs
+++ b/crates/node/src/ticket/handover.rs
@@ -21,7 +21,7 @@
 pub(crate) struct Part {
     pub(crate) home: NodeName,
     pub(crate) incarnation: Incarnation,
-    pub(crate) kept: Vec<Entry>,
+    pub(crate) entries: Vec<Entry>,
     /// How many tickets there are in all parts.
     pub(crate) total: usize,
 }
@@ -33,7 +33,7 @@
     total: usize,
     arrived: Instant,
     /// The memory of the answers.
-    size: usize,
+    bytes: usize,
 }
 
 impl Received {
@@ -43,40 +43,40 @@
     }
 
     /// Keeps an answer and returns by how many bytes that needs more memory.
-    fn keep(&mut self, entry: Entry) -> usize {
-        let size = footprint(&entry.answer);
-        let earlier = self.answers.insert(entry.ticket.serial, entry.answer);
-        let grown = size.saturating_sub(earlier.as_ref().map_or(0, footprint));
-        self.size += grown;
-        grown
+    fn insert(&mut self, entry: Entry) -> usize {
+        let bytes = footprint(&entry.answer);
+        let previous = self.answers.insert(entry.ticket.serial, entry.answer);
+        let added = bytes.saturating_sub(previous.as_ref().map_or(0, footprint));
+        self.bytes += added;
+        added
     }
 }
 
 /// What other nodes have handed over to this one.
 #[derive(Debug, Default)]
 pub(crate) struct Archive {
-    lives: HashMap<(NodeName, Incarnation), Received>,
-    used: usize,
+    handovers: HashMap<(NodeName, Incarnation), Received>,
+    used_bytes: usize,
 }
 
 impl Archive {
     /// Takes in a part of what a node hands over, unless it needs more than `room` bytes.
-    pub(crate) fn take(&mut self, part: Part, now: Instant, room: usize) -> bool {
-        let sizes = part.kept.iter().map(|entry| footprint(&entry.answer));
-        if sizes.sum::<usize>() > room {
+    pub(crate) fn merge(&mut self, part: Part, now: Instant, available: usize) -> bool {
+        let sizes = part.entries.iter().map(|entry| footprint(&entry.answer));
+        if sizes.sum::<usize>() > available {
             return false;
         }
         let received = self
-            .lives
+            .handovers
             .entry((part.home, part.incarnation))
             .or_insert_with(|| Received {
                 answers: HashMap::new(),
                 total: part.total,
                 arrived: now,
-                size: 0,
+                bytes: 0,
             });
-        for entry in part.kept {
-            self.used += received.keep(entry);
+        for entry in part.entries {
+            self.used_bytes += received.insert(entry);
         }
         true
     }
@@ -85,9 +85,9 @@
     ///
     /// A ticket that is missing from a complete handover was never run, and no longer can be; that is
     /// said only if the ticket is `recent`, since the home may have forgotten an old one.
-    pub(crate) fn find(&self, ticket: &Ticket, recent: bool) -> Option<Answer> {
+    pub(crate) fn lookup(&self, ticket: &Ticket, recent: bool) -> Option<Answer> {
         let key = (ticket.home.clone(), ticket.incarnation);
-        let received = self.lives.get(&key)?;
+        let received = self.handovers.get(&key)?;
         let known = received.answers.get(&ticket.serial).cloned();
         known.or_else(|| {
             let never_run = recent && received.is_complete();
@@ -96,25 +96,25 @@
     }
 
     /// Forgets what arrived longer ago than `life`.
-    pub(crate) fn forget_old(&mut self, now: Instant, life: Duration) {
+    pub(crate) fn evict_old(&mut self, now: Instant, retention: Duration) {
         let mut freed = 0;
-        self.lives.retain(|_, received| {
-            let keep = now.saturating_duration_since(received.arrived) < life;
-            freed += if keep { 0 } else { received.size };
+        self.handovers.retain(|_, received| {
+            let keep = now.saturating_duration_since(received.arrived) < retention;
+            freed += if keep { 0 } else { received.bytes };
             keep
         });
-        self.used -= freed;
+        self.used_bytes -= freed;
     }
 
     /// Returns the memory that is taken up.
-    pub(crate) fn used(&self) -> usize {
-        self.used
+    pub(crate) fn used_bytes(&self) -> usize {
+        self.used_bytes
     }
 }
 
 /// Returns the answer as it is handed over: one whose body is too long is unknown.
-pub(crate) fn handed_over(answer: &Answer, longest: usize) -> Answer {
-    if answer.outcome == Outcome::Done && answer.body.len() > longest {
+pub(crate) fn for_handover(answer: &Answer, max_body: usize) -> Answer {
+    if answer.outcome == Outcome::Done && answer.body.len() > max_body {
         return Answer::unknown(Reason::AnswerTooLarge);
     }
     answer.clone()
--- a/crates/node/src/ticket/mod.rs
+++ b/crates/node/src/ticket/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::call::Answer;
 use builder::Builder;
-use handover::{Archive, handed_over};
+use handover::{Archive, for_handover};
 pub(crate) use handover::{Entry, Part};
 use record::{RECORD_OVERHEAD, Record, State, footprint};
 
@@ -33,7 +33,7 @@
 /// The most tickets remembered at once.
 const MAX_RECORDS: usize = 200_000;
 /// The longest body of an answer that is handed over.
-const LONGEST_HANDED_OVER: usize = 64 * 1024;
+const MAX_HANDED_OVER_BODY: usize = 64 * 1024;
 
 /// What to do with a call that brings a ticket.
 pub(crate) enum Disposition {
@@ -55,12 +55,12 @@
 pub(crate) struct Tickets {
     home: NodeName,
     incarnation: Incarnation,
-    life: Duration,
+    lifetime: Duration,
     memory: ByteSize,
     clock: Clock,
     records: RefCell<HashMap<u64, Record>>,
-    by_age: RefCell<VecDeque<(Timestamp, u64)>>,
-    used: Cell<usize>,
+    by_arrival: RefCell<VecDeque<(Timestamp, u64)>>,
+    used_bytes: Cell<usize>,
     /// What other nodes handed over when they stopped.
     archive: RefCell<Archive>,
 }
@@ -101,8 +101,8 @@
             return self.begin_foreign(ticket);
         }
         let now = self.clock.now();
-        self.forget_expired(now);
-        self.forget_handed_over(Instant::now());
+        self.evict_expired(now);
+        self.evict_handovers(Instant::now());
         let mut records = self.records.borrow_mut();
         if let Some(record) = records.get_mut(&ticket.serial) {
             return record.join();
@@ -110,12 +110,12 @@
         if self.is_expired(ticket.minted, now) || ticket.minted > now.after(MAX_SKEW) {
             return Disposition::Expired;
         }
-        if records.len() >= MAX_RECORDS || self.used.get() >= self.memory.as_usize() {
+        if records.len() >= MAX_RECORDS || self.used_bytes.get() >= self.memory.as_usize() {
             return Disposition::Full;
         }
         records.insert(ticket.serial, Record::running(ticket.minted));
-        self.by_age.borrow_mut().push_back((now, ticket.serial));
-        self.used.set(self.used.get() + RECORD_OVERHEAD);
+        self.by_arrival.borrow_mut().push_back((now, ticket.serial));
+        self.used_bytes.set(self.used_bytes.get() + RECORD_OVERHEAD);
         Disposition::Run
     }
 
@@ -125,25 +125,25 @@
         if self.is_expired(ticket.minted, now) {
             return Disposition::Expired;
         }
-        let certain = self.life.saturating_sub(MAX_SKEW * 2);
-        let recent = ticket.minted.after(certain) > now;
-        let answer = self.archive.borrow().find(ticket, recent);
+        let safe_age = self.lifetime.saturating_sub(MAX_SKEW * 2);
+        let recent = ticket.minted.after(safe_age) > now;
+        let answer = self.archive.borrow().lookup(ticket, recent);
         answer.map_or(Disposition::Foreign, Disposition::Closed)
     }
 
     /// Takes in what a node hands over; returns false if there is no room.
     pub(crate) fn receive(&self, part: Part, now: Instant) -> bool {
-        self.forget_handed_over(now);
+        self.evict_handovers(now);
         let mut archive = self.archive.borrow_mut();
-        let taken = self.used.get() + archive.used();
-        let room = self.memory.as_usize().saturating_sub(taken);
-        archive.take(part, now, room)
+        let used = self.used_bytes.get() + archive.used_bytes();
+        let available = self.memory.as_usize().saturating_sub(used);
+        archive.merge(part, now, available)
     }
 
     /// Forgets what was handed over when no ticket of that life can be used any more.
-    pub(crate) fn forget_handed_over(&self, now: Instant) {
+    pub(crate) fn evict_handovers(&self, now: Instant) {
         let mut archive = self.archive.borrow_mut();
-        archive.forget_old(now, self.life + MAX_SKEW);
+        archive.evict_old(now, self.lifetime + MAX_SKEW);
     }
 
     /// Returns what this life hands over about its tickets, in parts of about `size` bytes.
@@ -157,7 +157,7 @@
         for (serial, record) in records.iter() {
             let answer = record.final_answer().map_or_else(
                 || Answer::unknown(Reason::Cancelled),
-                |answer| handed_over(answer, LONGEST_HANDED_OVER),
+                |answer| for_handover(answer, MAX_HANDED_OVER_BODY),
             );
             let length = footprint(&answer);
             if filled + length > size {
@@ -172,7 +172,7 @@
                 minted: record.minted,
             };
             if let Some(part) = parts.last_mut() {
-                part.kept.push(Entry { ticket, answer });
+                part.entries.push(Entry { ticket, answer });
             }
         }
         parts
@@ -182,7 +182,7 @@
         Part {
             home: self.home.clone(),
             incarnation: self.incarnation,
-            kept: Vec::new(),
+            entries: Vec::new(),
             total,
         }
     }
@@ -193,10 +193,11 @@
         let Some(record) = records.get_mut(&ticket.serial) else {
             return;
         };
-        self.used.set(self.used.get() + answer.body.len());
+        self.used_bytes
+            .set(self.used_bytes.get() + answer.body.len());
         let earlier = std::mem::replace(&mut record.state, State::Closed(answer.clone()));
-        if let State::Running(waiting) = earlier {
-            for waiter in waiting {
+        if let State::Running(waiters) = earlier {
+            for waiter in waiters {
                 // A waiter that has gone needs no answer.
                 let _ = waiter.send(answer.clone());
             }
@@ -206,13 +207,13 @@
     /// Returns how many own tickets are remembered, and the memory they take up with what
     /// was handed over.
     pub(crate) fn size(&self) -> (usize, ByteSize) {
-        let bytes = self.used.get() + self.archive.borrow().used();
+        let bytes = self.used_bytes.get() + self.archive.borrow().used_bytes();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         (self.records.borrow().len(), ByteSize(bytes))
     }
 
     fn is_expired(&self, minted: Timestamp, now: Timestamp) -> bool {
-        minted.after(self.life) < now
+        minted.after(self.lifetime) < now
     }
 
     /// Forgets the closed requests whose tickets can no longer be used.
@@ -220,22 +221,23 @@
     /// The clock never goes back, so a forgotten ticket stays expired. Records
     /// leave in the order in which they came, once twice the life and the
     /// greatest skew have passed since.
-    fn forget_expired(&self, now: Timestamp) {
-        let mut by_age = self.by_age.borrow_mut();
+    fn evict_expired(&self, now: Timestamp) {
+        let mut by_arrival = self.by_arrival.borrow_mut();
         let mut records = self.records.borrow_mut();
-        while let Some((came, serial)) = by_age.front().copied() {
+        while let Some((arrived, serial)) = by_arrival.front().copied() {
             let Some(record) = records.get(&serial) else {
-                by_age.pop_front();
+                by_arrival.pop_front();
                 continue;
             };
-            let outlived = came.after(self.life + MAX_SKEW) < now;
-            if !outlived || !self.is_expired(record.minted, now) || record.is_running() {
+            let is_past_retention = arrived.after(self.lifetime + MAX_SKEW) < now;
+            if !is_past_retention || !self.is_expired(record.minted, now) || record.is_running() {
                 return;
             }
             let size = RECORD_OVERHEAD + record.answer_length();
-            self.used.set(self.used.get().saturating_sub(size));
+            self.used_bytes
+                .set(self.used_bytes.get().saturating_sub(size));
             records.remove(&serial);
-            by_age.pop_front();
+            by_arrival.pop_front();
         }
     }
 }
--- a/crates/node/src/ticket/record.rs
+++ b/crates/node/src/ticket/record.rs
@@ -41,9 +41,9 @@
     pub(crate) fn join(&mut self) -> Disposition {
         match &mut self.state {
             State::Closed(answer) => Disposition::Closed(answer.clone()),
-            State::Running(waiting) => {
+            State::Running(waiters) => {
                 let (sender, receiver) = oneshot::channel();
-                waiting.push(sender);
+                waiters.push(sender);
                 Disposition::Wait(receiver)
             }
         }
--- a/crates/node/src/ticket/tests.rs
+++ b/crates/node/src/ticket/tests.rs
@@ -8,12 +8,12 @@
 use crate::call::Answer;
 use crate::ticket::{Disposition, Tickets};
 
-const LIFE: Duration = Duration::from_secs(100);
+const LIFETIME: Duration = Duration::from_secs(100);
 
 fn tickets(memory: u64) -> Tickets {
     let home = "desk-1".parse().expect("a name");
     Tickets::builder(home, Incarnation(7))
-        .life(LIFE)
+        .lifetime(LIFETIME)
         .memory(ByteSize(memory))
         .build()
 }
@@ -31,8 +31,8 @@
         panic!("a second copy must wait");
     };
     tickets.close(&ticket, &answer());
-    let told = waiting.try_recv().expect("it is told").expect("at once");
-    assert_eq!(told.body, answer().body);
+    let received = waiting.try_recv().expect("it is told").expect("at once");
+    assert_eq!(received.body, answer().body);
     assert!(matches!(tickets.begin(&ticket), Disposition::Closed(_)));
 }
 
@@ -107,7 +107,7 @@
 fn successor() -> Tickets {
     let name = "desk-2".parse().expect("a name");
     Tickets::builder(name, Incarnation(9))
-        .life(LIFE * 10)
+        .lifetime(LIFETIME * 10)
         .memory(ByteSize(1 << 20))
         .build()
 }
@@ -116,7 +116,7 @@
 fn home_with_tickets() -> (Tickets, [Ticket; 3]) {
     let name = "desk-1".parse().expect("a name");
     let home = Tickets::builder(name, Incarnation(7))
-        .life(LIFE * 10)
+        .lifetime(LIFETIME * 10)
         .memory(ByteSize(1 << 20))
         .build();
     let [done, refused, unused] = [home.mint_here(), home.mint_here(), home.mint_here()];
@@ -200,7 +200,7 @@
     let (home, [done, _, unused]) = home_with_tickets();
     let name = "desk-2".parse().expect("a name");
     let successor = Tickets::builder(name, Incarnation(9))
-        .life(LIFE * 10)
+        .lifetime(LIFETIME * 10)
         .memory(ByteSize(100))
         .build();
     for part in home.handover_parts(1 << 20) {
@@ -219,9 +219,9 @@
         assert!(successor.receive(part, now));
     }
     assert!(successor.size().1 > ByteSize(400));
-    successor.forget_handed_over(now + LIFE * 10);
+    successor.evict_handovers(now + LIFETIME * 10);
     assert!(matches!(successor.begin(&done), Disposition::Closed(_)));
-    successor.forget_handed_over(now + LIFE * 10 + Duration::from_mins(2));
+    successor.evict_handovers(now + LIFETIME * 10 + Duration::from_mins(2));
     assert_eq!(successor.size().1, ByteSize(0));
     assert!(matches!(successor.begin(&done), Disposition::Foreign));
 }
--- a/crates/node/src/unknown.rs
+++ b/crates/node/src/unknown.rs
@@ -12,7 +12,7 @@
 use crate::call::{Call, reason_word};
 
 /// The most unknown outcomes remembered on one node.
-const CAPACITY: usize = 10_000;
+const MAX_OPEN: usize = 10_000;
 
 /// One request whose outcome is not known.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,10 +49,10 @@
     }
 
     /// Notes that the outcome of a call is not known.
-    pub(crate) fn note(&self, call: &Call, ticket: &Ticket, reason: Reason) {
+    pub(crate) fn record(&self, call: &Call, ticket: &Ticket, reason: Reason) {
         let mut open = self.open.borrow_mut();
         let key = ticket.to_string();
-        if open.contains_key(&key) || open.len() >= CAPACITY {
+        if open.contains_key(&key) || open.len() >= MAX_OPEN {
             return;
         }
         let unknown = Unknown {
@@ -83,11 +83,11 @@
 
     /// Forgets the request with this ticket; returns true if it was there.
     pub(crate) fn forget(&self, ticket: &str) -> bool {
-        let known = self.open.borrow_mut().remove(ticket).is_some();
-        if known {
+        let was_open = self.open.borrow_mut().remove(ticket).is_some();
+        if was_open {
             self.resolved.borrow_mut().push(ticket.to_owned());
         }
-        known
+        was_open
     }
 
     /// Returns the open requests, the oldest first.
@@ -98,12 +98,12 @@
     }
 
     /// Takes what has not been written to the platform yet.
-    pub(crate) fn take_unsaved(&self) -> Vec<Unknown> {
+    pub(crate) fn drain_unsaved(&self) -> Vec<Unknown> {
         std::mem::take(&mut self.unsaved.borrow_mut())
     }
 
     /// Takes the tickets whose rows on the platform are to go.
-    pub(crate) fn take_resolved(&self) -> Vec<String> {
+    pub(crate) fn drain_resolved(&self) -> Vec<String> {
         std::mem::take(&mut self.resolved.borrow_mut())
     }
 
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 
 /// An upstream that has not announced itself for this long is gone.
-const ANNOUNCEMENT_LIFE: Duration = Duration::from_secs(5);
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(5);
 /// The most unused connections kept to an upstream.
 const POOL_CAPACITY: usize = 1024;
 
@@ -57,17 +57,17 @@
     /// Takes in an announcement; returns true if it is that of a new life.
     pub(crate) fn announce(&self, announcement: Announcement, now: Instant) -> bool {
         let mut announced = self.announced.borrow_mut();
-        let same = announced.as_ref().is_some_and(|(known, _)| {
+        let is_same_incarnation = announced.as_ref().is_some_and(|(known, _)| {
             known.life == announcement.life && known.address == announcement.address
         });
-        if !same {
+        if !is_same_incarnation {
             let source = Some(announcement.address.ip());
             let pool = Pool::new(announcement.address, source, POOL_CAPACITY);
             *self.pool.borrow_mut() = Some(Rc::new(pool));
         }
         self.unreachable.set(false);
         *announced = Some((announcement, now));
-        !same
+        !is_same_incarnation
     }
 
     /// Returns true if the upstream takes calls.
@@ -82,7 +82,7 @@
         let announced = self.announced.borrow();
         let (announcement, at) = announced.as_ref()?;
         let age = now.saturating_duration_since(*at);
-        (age < ANNOUNCEMENT_LIFE).then_some(announcement.state)
+        (age < ANNOUNCEMENT_TTL).then_some(announcement.state)
     }
 
     /// Returns how many slots the upstream says it has.
@@ -96,7 +96,7 @@
     }
 
     /// Notes that the upstream does not accept connections, until it announces itself again.
-    pub(crate) fn note_unreachable(&self) {
+    pub(crate) fn mark_unreachable(&self) {
         self.unreachable.set(true);
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Opens connections to the upstream before they are needed.
-    pub(crate) async fn warm(&self, count: usize) {
+    pub(crate) async fn preconnect(&self, count: usize) {
         let pool = self.pool.borrow().clone();
         if let Some(pool) = pool {
             // A connection that cannot be opened now is opened with the first call.
