--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Brings a call to an answer: chooses targets, retries within bounds, keeps to tickets.
+//! Dispatches calls: chooses targets, retries within limits and honours tickets.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,16 +23,16 @@
 use sailtrack_admission::Policy;
 use sailtrack_settings::Identity;
 
-/// How often a call that did not run is brought elsewhere.
+/// Limit on redirects of a call that certainly did not run.
 const MAX_REDIRECTS: u32 = 2;
-/// How often the home of a ticket is asked again after a lost answer.
+/// Limit on further attempts at the home node of a ticket after a lost answer.
 const MAX_HOME_RETRIES: u32 = 3;
-/// The pause before the home of a ticket is asked again.
+/// Delay before the home node of a ticket is tried again.
 const HOME_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often the fixed policy retries a call.
+/// Limit on retries under the fixed policy.
 const FIXED_RETRIES: u32 = 2;
 
-/// Brings calls to an answer.
+/// Dispatches calls to targets and returns their final answers.
 pub(crate) struct Dispatcher {
     pub(crate) policy: Policy,
     pub(crate) identity: Identity,
@@ -51,19 +51,19 @@
     const NAME: &'static str = "dispatcher";
 }
 
-/// What to do after an answer that is not a success.
+/// What to do after an unsuccessful attempt.
 enum Action {
-    /// It is final.
+    /// Return the answer to the caller.
     Stop,
-    /// It did not run; try elsewhere without using up the allowance.
+    /// The call did not run: try another target; this costs no retry allowance.
     Redirect,
-    /// It may have run; try again and use up the allowance.
+    /// The call may have run: retry it; this costs retry allowance.
     Retry,
 }
 
 /// The answers to the earlier attempts of a call.
 ///
-/// Once an attempt may have run, no later refusal can say that the call did not.
+/// Once an attempt may have run, a later refusal must not be reported as "not run".
 #[derive(Default)]
 struct Attempts {
     ambiguous: Option<Answer>,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns what is true of the call when this is the answer to its last attempt.
+    /// Returns the answer to report if `answer` came from the last attempt.
     fn or_final(self, answer: Answer) -> Answer {
         match self.ambiguous {
             Some(ambiguous) if !may_have_run(&answer) => ambiguous,
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Returns what is true of the call when there is nobody left to try.
+    /// Returns the answer to report if no target is left to try.
     fn or_no_target(self, refusal: impl FnOnce() -> Answer) -> Answer {
         self.ambiguous.or(self.refused).unwrap_or_else(refusal)
     }
 }
 
 impl Dispatcher {
-    /// Brings a call to its final answer.
+    /// Dispatches a call and returns its final answer.
     pub(crate) async fn dispatch(&self, call: Call, budget: &Budget) -> Answer {
         let answer = match (self.policy, call.repeat, &call.ticket) {
             (Policy::Forward, ..) => self.forward(&call, budget).await,
@@ -114,7 +114,7 @@
         answer
     }
 
-    /// Brings a call that has no ticket and may run several times, within its allowance.
+    /// Dispatches a call without a ticket, retrying within its allowance if its kind permits it.
     async fn dispatch_repeatable(&self, call: &Call, budget: &Budget) -> Answer {
         let mut tried: Vec<NodeName> = Vec::new();
         let mut redirects = 0;
@@ -164,9 +164,10 @@
         Action::Stop
     }
 
-    /// Brings a non-idempotent call that this node makes tickets for itself.
+    /// Dispatches a non-idempotent call for which this node issues the tickets.
     ///
-    /// A refusal by a home closes its ticket, so another home may get a new one.
+    /// A refusal by the home node closes its ticket for good, so a new ticket with another home
+    /// node is safe.
     async fn dispatch_at_most_once(&self, call: &Call, budget: &Budget) -> Answer {
         let mut tried: Vec<NodeName> = Vec::new();
         let mut last_answer: Option<Answer> = None;
@@ -195,10 +196,10 @@
         last_answer.unwrap_or_else(|| self.refuse(NoTarget::Unreachable))
     }
 
-    /// Brings a call to the home of its ticket, and asks again if the answer is lost.
+    /// Sends a call to the home node of its ticket and asks again if the answer is lost.
     ///
-    /// `fresh` says that no other copy of the call can exist, so that a call
-    /// which was never sent is known not to have run.
+    /// `is_first_copy` means that no other copy of the call can exist, so if it could not be sent
+    /// it certainly did not run.
     async fn call_home(
         &self,
         call: &Call,
@@ -229,7 +230,7 @@
         self.record_outcome(call, ticket, answer)
     }
 
-    /// Asks the nodes that have the answers of the home of a ticket, if it stopped in an orderly way.
+    /// Asks the nodes to which the home node handed over its answers when it shut down.
     async fn query_successors(&self, call: &Call, ticket: &Ticket, budget: &Budget) -> Answer {
         for successor in self.routing.successors(&call.service, ticket) {
             let answer = self.attempt(call, &successor, budget).await;
@@ -250,7 +251,8 @@
         answer
     }
 
-    /// Returns where the home of a ticket is, unless that life of it is known to have ended.
+    /// Returns the home node of a ticket, unless the incarnation in the ticket is known to have
+    /// ended.
     fn home_of(&self, ticket: &Ticket) -> Option<Target> {
         if self.tickets.is_home(ticket) {
             return Some(Target::Local);
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Sends a call to a target once.
+    /// Makes one attempt: sends a call to a target and waits for the answer.
     async fn attempt(&self, call: &Call, target: &Target, budget: &Budget) -> Answer {
         let reservation = budget.reserve();
         let call = Call {
@@ -301,7 +303,7 @@
         self.executor.retry_later(answer)
     }
 
-    /// Sends a call on as it is: the first baseline.
+    /// Forwards a call without retries: the first baseline policy.
     async fn forward(&self, call: &Call, budget: &Budget) -> Answer {
         match self.routing.choose(call, &[]) {
             Ok(target) => self.attempt(call, &target, budget).await,
@@ -309,7 +311,7 @@
         }
     }
 
-    /// Retries on this hop within the ratio: the second baseline.
+    /// Retries on this hop within the retry ratio: the second baseline policy.
     async fn dispatch_fixed(&self, call: &Call, budget: &Budget) -> Answer {
         let mut last_answer = None;
         for attempt in 0..=FIXED_RETRIES {
--- a/crates/node/src/execute.rs
+++ b/crates/node/src/execute.rs
@@ -1,4 +1,4 @@
-//! Runs calls in the own upstream.
+//! Executes calls in the upstream of this node.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,23 +24,23 @@
 use sailtrack_admission::Policy;
 use sailtrack_admission::{Admission, WindowPermit, Windows};
 
-/// How long past its deadline a non-idempotent call is still waited for.
+/// How long the node waits for the upstream after the deadline of a non-idempotent call.
 ///
-/// Its caller has had its answer by then; what comes is kept for a repeat.
+/// The caller has been answered by then; the late answer is kept for a retry with the same ticket.
 const AT_MOST_ONCE_GRACE: Duration = Duration::from_secs(30);
-/// The shortest time after which a refused caller may come back.
+/// Lower bound of the retry delay given to refused callers.
 const MIN_RETRY_AFTER_MS: u64 = 500;
 
-/// What a completed call tells about the upstream.
+/// What admission control learns from a completed call.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
-    /// The time that the upstream itself took.
+    /// Time spent in the upstream, without nested calls.
     self_time: Duration,
-    /// Whether the call found the upstream at most half full.
+    /// Whether the upstream was at most half full when the call arrived.
     is_lightly_loaded: bool,
 }
 
-/// Runs calls in the own upstream.
+/// Executes calls in the upstream of this node, subject to admission control.
 pub(crate) struct Executor {
     pub(crate) policy: Policy,
     pub(crate) phase: Rc<Cell<Phase>>,
@@ -52,7 +52,7 @@
     pub(crate) tickets: Rc<Tickets>,
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) in_flight: Rc<Cell<usize>>,
-    /// When a call was last refused because the node leaves.
+    /// When a call was last refused because the node is draining.
     pub(crate) last_draining_refusal: Cell<Option<Instant>>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Executor {
-    /// Runs a call, or gives the answer of its ticket if that ran before.
+    /// Executes a call, or returns the recorded answer of its ticket.
     pub(crate) async fn execute(self: &Rc<Self>, call: Call) -> Answer {
         let in_flight_guard = task::Held::new(&self.in_flight);
         let answer = match call.ticket.clone() {
@@ -75,7 +75,7 @@
         answer
     }
 
-    /// Runs a call to its end even if the caller leaves, as the baselines do.
+    /// Executes a call to completion even if the caller disconnects, as the baseline policies do.
     async fn run_detached(self: &Rc<Self>, call: Call) -> Answer {
         let wait_until = call.deadline;
         let answer = self.start(call, wait_until, |_| {});
@@ -84,7 +84,7 @@
             .unwrap_or_else(|_| Answer::unknown(Reason::Cancelled))
     }
 
-    /// Runs a call in a task of its own, which goes on when the caller has left.
+    /// Executes a call in its own task, which continues if the caller disconnects.
     fn start(
         self: &Rc<Self>,
         call: Call,
@@ -97,7 +97,7 @@
         task::spawn("execution", async move {
             let answer = executor.run(&call, wait_until).await;
             on_end(&answer);
-            // The caller may have left.
+            // The caller may have disconnected.
             let _ = sender.send(answer);
             drop(in_flight_guard);
         });
@@ -111,9 +111,7 @@
             Disposition::Wait(answer) => answer,
             Disposition::Closed(answer) => return answer,
             Disposition::Expired => return Answer::unknown(Reason::TicketExpired),
-            Disposition::Full => {
-                return self.retry_later(Answer::unknown(Reason::RecordsFull));
-            }
+            Disposition::Full => return self.retry_later(Answer::unknown(Reason::RecordsFull)),
             Disposition::Foreign => return Answer::unknown(Reason::HomeGone),
         };
         match timeout_at(deadline, answer).await {
@@ -123,7 +121,8 @@
         }
     }
 
-    /// Runs a call whose answer is kept, so a caller that has left finds it by its ticket.
+    /// Starts an at-most-once call, whose answer is recorded so that a later retry can find it by
+    /// its ticket.
     fn start_once(self: &Rc<Self>, call: Call, ticket: &Ticket) -> oneshot::Receiver<Answer> {
         let close_guard = CloseGuard::new(&self.tickets, ticket);
         let wait_until = call.deadline + AT_MOST_ONCE_GRACE;
@@ -194,7 +193,8 @@
         }
     }
 
-    /// Returns the place of a root request in the window of its kind.
+    /// Acquires a place in the concurrency window of the request's kind; only root requests need
+    /// one.
     fn window_permit(&self, call: &Call) -> Result<Option<WindowPermit>, Reason> {
         if call.depth > 0 || self.policy != Policy::Adaptive {
             return Ok(None);
@@ -205,12 +205,13 @@
         }
     }
 
-    /// Returns true if a service further down would refuse the request, so that work is wasted.
+    /// Returns true if a service further downstream would reject the request, so that executing it
+    /// here would be wasted work.
     fn is_shed_downstream(&self, call: &Call, now: Instant) -> bool {
         self.policy == Policy::Adaptive && self.downstream.level(now, &call.root_kind) > call.rank
     }
 
-    /// Returns the refusal of a node that takes no calls at present.
+    /// Returns a refusal if the node accepts no calls at present.
     fn refusal(&self, now: Instant) -> Option<Answer> {
         let reason = match self.phase.get() {
             Phase::Joining => Reason::NotConfigured,
@@ -224,7 +225,7 @@
         Some(self.retry_later(Answer::not_run(reason)))
     }
 
-    /// Returns true if no call had to be refused for `time` because the node leaves.
+    /// Returns true if the node has refused no call for draining during the last `time`.
     pub(crate) fn has_been_quiet(&self, now: Instant, time: Duration) -> bool {
         let last_refusal = self.last_draining_refusal.get();
         last_refusal.is_none_or(|last_refusal| now.saturating_duration_since(last_refusal) >= time)
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Returns the answer with a time to come back, spread so that returns do not surge.
+    /// Adds a random retry delay to the answer, so that the retries of many callers spread out.
     pub(crate) fn retry_later(&self, answer: Answer) -> Answer {
         let spread = self.admission.retry_spread(Instant::now());
         let spread = u64::try_from(spread.as_millis()).unwrap_or(u64::MAX);
@@ -305,7 +306,7 @@
     request
 }
 
-/// Returns true if a call with this answer may have run.
+/// Returns true unless the call certainly did not run.
 pub(crate) fn may_have_run(answer: &Answer) -> bool {
     answer.outcome != Outcome::NotRun
 }
--- a/crates/node/src/retry/budget.rs
+++ b/crates/node/src/retry/budget.rs
@@ -1,14 +1,14 @@
-//! The retry allowance of one request on this node, lent out to the calls made for it.
+//! The retry budget of one request on this node, shared by all calls made for it.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use sailtrack_units::Allowance;
 
-/// What is left of a request's allowance.
+/// The remaining retry allowance of a request.
 ///
-/// Every call made for the request shares the same budget, however many run in
-/// parallel, so the retries below it never exceed what was brought in.
+/// All calls made for the request draw on the same budget, however many run in parallel, so the
+/// total number of retries below it never exceeds the allowance.
 #[derive(Debug, Clone)]
 pub(crate) struct Budget {
     inner: Rc<Inner>,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes one retry out; returns false if none is left.
+    /// Spends one retry; returns false if none is left.
     pub(crate) fn spend(&self) -> bool {
         let remaining = self.inner.remaining.get();
         if remaining == 0 {
@@ -40,9 +40,9 @@
         true
     }
 
-    /// Lends half of what is left, rounded up, to one call.
+    /// Reserves half of the remaining retries, rounded up, for one call.
     ///
-    /// What the call does not give back counts as spent.
+    /// Whatever the call does not refund counts as spent.
     pub(crate) fn reserve(&self) -> Reservation {
         let available = self.inner.remaining.get();
         let reserved = available.div_ceil(2);
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Returns what has been used up, with what is still lent out.
+    /// Returns how many retries are spent or reserved.
     pub(crate) fn used(&self) -> Allowance {
         Allowance(self.inner.initial - self.inner.remaining.get())
     }
 }
 
-/// A part of a budget lent to one call.
+/// Retries reserved for one call.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: Budget,
@@ -72,7 +72,7 @@
         Allowance(self.reserved)
     }
 
-    /// Puts back what the call says that it did not use.
+    /// Returns the retries that the call reports as unused to the budget.
     pub(crate) fn refund(self, used: Allowance) {
         let unused = self.reserved.saturating_sub(used.0);
         let remaining = self.budget.inner.remaining.get();
--- a/crates/node/src/retry/limiter.rs
+++ b/crates/node/src/retry/limiter.rs
@@ -1,4 +1,4 @@
-//! The share of calls to a service that retries may add.
+//! Limits the retries to each service to a ratio of its successful calls.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,10 +6,11 @@
 use sailtrack_kernel::Service;
 use sailtrack_units::{Ratio, ServiceName};
 
-/// The most retries that can be saved up for one service.
+/// Capacity of a token bucket, in retries.
 const MAX_TOKENS: f64 = 20.0;
 
-/// A token bucket for each service, filled by successes and emptied by retries.
+/// Keeps a token bucket for each service: successes add a fraction of a token, each retry takes
+/// one.
 pub(crate) struct Limiter {
     ratio: Ratio,
     tokens: RefCell<BTreeMap<ServiceName, f64>>,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Notes a success, which allows for a part of a retry.
+    /// Records a success, which adds a fraction of a retry.
     pub(crate) fn record_success(&self, service: &ServiceName) {
         let mut tokens = self.tokens.borrow_mut();
         if let Some(available) = tokens.get_mut(service) {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes one retry; returns false if retries have used up their share.
+    /// Takes one retry; returns false if the bucket is empty.
     pub(crate) fn try_acquire(&self, service: &ServiceName) -> bool {
         let mut tokens = self.tokens.borrow_mut();
         let available = tokens.entry(service.clone()).or_insert(MAX_TOKENS);
--- a/crates/node/src/retry/mod.rs
+++ b/crates/node/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Bounds on retries: an allowance for each request and a ratio for each service.
+//! Limits on retries: a budget for each request and a ratio for each service.
 
 mod budget;
 mod limiter;
--- a/crates/node/src/retry/tests.rs
+++ b/crates/node/src/retry/tests.rs
@@ -1,4 +1,4 @@
-//! A budget bounds retries however calls are spread.
+//! Retry budgets hold for parallel calls and lost answers, and the retry ratio runs out.
 
 use sailtrack_units::{Allowance, Ratio};
 
--- a/crates/node/src/routing/decay.rs
+++ b/crates/node/src/routing/decay.rs
@@ -1,15 +1,15 @@
-//! An admission level that was heard of and loses its force with time.
+//! A reported admission level that decays with time.
 
 use std::time::{Duration, Instant};
 
 use sailtrack_units::Rank;
 
-/// A level is taken at its word for this long.
+/// How long a reported level counts in full.
 const HOLD_TIME: Duration = Duration::from_millis(300);
-/// After that it falls by this many ranks a second, so that it is asked for again.
+/// Decay after that, in ranks per second; it makes the node try the member again.
 const DECAY_PER_SECOND: f64 = 80.0;
 
-/// An admission level with the time at which it was heard of.
+/// An admission level and the time of the report.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Level {
     level: Rank,
@@ -21,7 +21,7 @@
         Self { level, reported_at }
     }
 
-    /// Returns what is left of the level.
+    /// Returns the level after decay.
     pub(crate) fn at(&self, now: Instant) -> Rank {
         let age = now.saturating_duration_since(self.reported_at);
         let decay = age.saturating_sub(HOLD_TIME).as_secs_f64() * DECAY_PER_SECOND;
--- a/crates/node/src/routing/downstream.rs
+++ b/crates/node/src/routing/downstream.rs
@@ -1,4 +1,4 @@
-//! The admission levels of the services behind the own upstream, by kind of root request.
+//! Admission levels of the services called by the own upstream, by kind of root request.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 
 use crate::routing::decay::Level;
 
-/// What executions of the own upstream have met further down.
+/// The admission levels that executions in the own upstream met downstream.
 #[derive(Default)]
 pub(crate) struct Downstream {
     levels: RefCell<HashMap<KindName, Level>>,
@@ -20,7 +20,7 @@
 }
 
 impl Downstream {
-    /// Notes the highest level that an execution met.
+    /// Records the highest level that an execution met.
     pub(crate) fn record(&self, now: Instant, root_kind: &KindName, level: Rank) {
         let reported = Level::new(level, now);
         let mut levels = self.levels.borrow_mut();
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the rank that a request of this kind needs to get through further down.
+    /// Returns the rank that a request of this kind needs to be admitted downstream.
     pub(crate) fn level(&self, now: Instant, root_kind: &KindName) -> Rank {
         let levels = self.levels.borrow();
         levels
--- a/crates/node/src/routing/mod.rs
+++ b/crates/node/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Chooses where a call runs.
+//! Chooses the target of each call.
 
 mod decay;
 mod downstream;
@@ -26,19 +26,19 @@
 use sailtrack_admission::{Admission, Pressure};
 use sailtrack_settings::Identity;
 
-/// The most members of one service that a node sends calls to.
+/// Limit on the members of one service to which a node sends calls.
 const SUBSET_SIZE: usize = 8;
-/// The slots assumed of a member that has not said how many it has.
+/// Slots assumed for a member that has not reported its number.
 const DEFAULT_SLOTS: f64 = 20.0;
-/// How many nodes a node hands its answers over to when it stops.
+/// Number of nodes to which a node hands over its answers at shutdown.
 const SUCCESSOR_COUNT: usize = 2;
-/// A member of another failure domain is preferred if it is emptier by this share of its limit.
+/// A member of another failure domain is preferred if its pressure is lower by at least this much.
 const SPILL_MARGIN: f64 = 0.25;
 
-/// Where a call runs.
+/// Where a call is executed.
 #[derive(Debug, Clone)]
 pub(crate) enum Target {
-    /// In the own upstream.
+    /// In the upstream of this node.
     Local,
     /// On another node.
     Remote(Rc<Peer>),
@@ -54,16 +54,16 @@
     }
 }
 
-/// Why there is no target for a call.
+/// Why no target was found for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoTarget {
-    /// No member of the service can be reached.
+    /// No member of the service is reachable.
     Unreachable,
-    /// Every member refuses calls of this rank; this is the lowest rank admitted.
+    /// Every member rejects calls of this rank; the value is the lowest rank admitted.
     Overload(Rank),
 }
 
-/// Chooses where calls run, from what their answers said.
+/// Chooses the targets of calls by what earlier answers reported.
 pub(crate) struct Routing {
     pub(crate) policy: Policy,
     pub(crate) identity: Identity,
@@ -79,7 +79,7 @@
     const NAME: &'static str = "routing";
 }
 
-/// A possible target with what speaks for and against it.
+/// A possible target with its load.
 struct Candidate {
     target: Target,
     pressure: Pressure,
@@ -87,7 +87,7 @@
 }
 
 impl Routing {
-    /// Returns a target for the call that is not among those `tried`.
+    /// Returns a target for the call that is not in `tried`.
     pub(crate) fn choose(&self, call: &Call, tried: &[NodeName]) -> Result<Target, NoTarget> {
         let now = Instant::now();
         let same_domain = self.candidates(call, tried, true, now);
@@ -119,7 +119,7 @@
         })
     }
 
-    /// Returns a member that can be the home of a ticket, preferably this node.
+    /// Returns a member to be the home node of a new ticket, preferably this node.
     pub(crate) fn choose_home(&self, service: &ServiceName) -> Option<Target> {
         let now = Instant::now();
         if self.is_local(service, now) {
@@ -142,7 +142,7 @@
 
     /// Returns the node that accounts for the retries of a client's request.
     ///
-    /// Every node of a failure domain that knows the same members returns the same one.
+    /// All nodes of a failure domain with the same view of the membership return the same node.
     pub(crate) fn accounting_node(
         &self,
         service: &ServiceName,
@@ -164,9 +164,9 @@
             .map(|(_, target)| target)
     }
 
-    /// Returns the nodes to which the home of a ticket hands its answers over when it stops.
+    /// Returns the nodes to which the home node of a ticket hands over its answers at shutdown.
     ///
-    /// Every node that knows the same members of the service returns the same ones.
+    /// All nodes with the same view of the service's members return the same nodes.
     pub(crate) fn successors(&self, service: &ServiceName, ticket: &Ticket) -> Vec<Target> {
         let seed = xxh3_64(ticket.home.as_str().as_bytes()) ^ ticket.incarnation.0;
         let weight_of = |name: &NodeName| xxh3_64_with_seed(name.as_str().as_bytes(), seed);
@@ -187,7 +187,7 @@
         loads.get(name).is_some_and(|load| load.is_ejected(now))
     }
 
-    /// Notes that a call goes to a target; the guard notes its end.
+    /// Counts a call as outstanding at a target until the guard is dropped.
     pub(crate) fn track(self: &Rc<Self>, target: &Target) -> Outstanding {
         let name = match target {
             Target::Local => None,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Notes what the answer of a target says about it.
+    /// Records what an answer reports about its target.
     pub(crate) fn record_answer(&self, target: &Target, root_kind: &KindName, answer: &Answer) {
         let Target::Remote(peer) = target else {
             return;
@@ -213,7 +213,7 @@
         });
     }
 
-    /// Returns the lowest rank that some member of the service admits, as far as is known.
+    /// Returns the lowest rank known to be admitted by a member of the service.
     pub(crate) fn level(&self, service: &ServiceName, root_kind: &KindName) -> Rank {
         let now = Instant::now();
         let loads = self.loads.borrow();
@@ -228,7 +228,7 @@
         remote.chain(local).min().unwrap_or(Rank::LOWEST)
     }
 
-    /// Returns the names of the members that are ejected at present.
+    /// Returns the names of the members that are currently ejected.
     pub(crate) fn ejected(&self) -> Vec<NodeName> {
         let now = Instant::now();
         let loads = self.loads.borrow();
@@ -236,7 +236,8 @@
         ejected.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns the rank that the own upstream and the services behind it admit.
+    /// Returns the rank needed to be admitted by the own upstream and the services downstream of
+    /// it.
     fn local_level(&self, root_kind: &KindName, now: Instant) -> Rank {
         self.admission
             .level(now)
@@ -285,7 +286,7 @@
         candidates
     }
 
-    /// Returns a number by which this node always prefers the same members.
+    /// Returns a hash by which this node always prefers the same members.
     fn affinity(&self, peer: &NodeName) -> u64 {
         xxh3_64(format!("{}/{peer}", self.identity.name).as_bytes())
     }
@@ -294,7 +295,8 @@
         Candidate {
             target: Target::Local,
             pressure: self.admission.pressure(now, call.rank.importance()),
-            // The own queue puts calls in order at no cost, so only what lies behind counts.
+            // The local queue sorts calls by rank at no cost, so only the downstream level matters
+            // here.
             level: self.downstream.level(now, &call.root_kind),
         }
     }
@@ -305,7 +307,8 @@
     }
 }
 
-/// Returns the better of two random candidates that admit the rank.
+/// Returns the less loaded of two random candidates that admit the rank, or the own upstream if it
+/// has room.
 fn pick_least_loaded(candidates: &[Candidate], rank: Rank) -> Option<&Candidate> {
     let admitting: Vec<&Candidate> = candidates
         .iter()
@@ -321,8 +324,8 @@
     two.min_by(|one, other| one.pressure.0.total_cmp(&other.pressure.0))
 }
 
-/// Returns the candidate of the own failure domain, unless the other one is so much less
-/// full that it is worth the distance.
+/// Returns the candidate in the own failure domain, unless the one elsewhere is less loaded by more
+/// than the spill margin.
 fn prefer_same_domain<'a>(
     same_domain: Option<&'a Candidate>,
     other_domains: Option<&'a Candidate>,
@@ -337,7 +340,8 @@
     }
 }
 
-/// Returns a target as the baselines choose it: here if possible, else at random.
+/// Returns a target for the baseline policies: the own upstream if possible, otherwise a random
+/// member.
 fn pick_baseline(candidates: &[Candidate]) -> Option<Target> {
     if let Some(first) = candidates.first()
         && matches!(first.target, Target::Local)
@@ -379,13 +383,14 @@
     })
 }
 
-/// Returns the weight of a node for a request; the greatest accounts for it.
+/// Returns the rendezvous hash of a node and a request; the node with the highest one accounts for
+/// the request.
 fn weight(node: &NodeName, request: RequestId) -> u64 {
     let seed = request.stable_hash();
     xxh3_64_with_seed(node.as_str().as_bytes(), seed)
 }
 
-/// A call that is on its way to a target.
+/// Guard of a call sent to a target and not answered yet.
 pub(crate) struct Outstanding {
     routing: Rc<Routing>,
     name: Option<NodeName>,
--- a/crates/node/src/routing/peer_load.rs
+++ b/crates/node/src/routing/peer_load.rs
@@ -1,4 +1,4 @@
-//! What a node has learned about one member from the answers to its calls.
+//! The load and health of one member, as seen in its answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,17 +10,17 @@
 use crate::routing::decay::Level;
 use sailtrack_admission::Pressure;
 
-/// This many failures in a row eject a member.
+/// Number of consecutive failures after which a member is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// How long a member is ejected the first time; each further time doubles it.
+/// Duration of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// The longest ejection.
+/// Upper bound of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
 
-/// What a node has learned about one member.
+/// The load and health of one member.
 #[derive(Debug, Default)]
 pub(crate) struct PeerLoad {
-    /// Calls sent and not answered yet.
+    /// Calls sent but not answered yet.
     pub(crate) outstanding: u32,
     levels: HashMap<KindName, Level>,
     pressure: Option<(Pressure, Instant)>,
@@ -30,13 +30,14 @@
 }
 
 impl PeerLoad {
-    /// Returns the rank that the member admits for requests of this kind.
+    /// Returns the rank that the member requires for requests of this kind.
     pub(crate) fn level(&self, now: Instant, root_kind: &KindName) -> Rank {
         let level = self.levels.get(root_kind);
         level.map_or(Rank::LOWEST, |level| level.at(now))
     }
 
-    /// Returns how full the member is, as far as is known; it has this many slots.
+    /// Returns the pressure of the member, which has this many slots: the larger of its decayed
+    /// report and the calls outstanding from here.
     pub(crate) fn pressure(&self, now: Instant, slots: f64) -> Pressure {
         let local = Pressure(f64::from(self.outstanding) / slots);
         let reported = self
@@ -47,7 +48,7 @@
         reported.max(local)
     }
 
-    /// Notes what an answer says about the member.
+    /// Updates load and health from an answer of the member.
     pub(crate) fn record_answer(&mut self, now: Instant, root_kind: &KindName, answer: &Answer) {
         if is_failure(answer) {
             self.record_failure(now, answer.reason == Reason::Connection);
@@ -63,12 +64,13 @@
         }
     }
 
-    /// Returns true while no call is sent to the member.
+    /// Returns true while the member is ejected and gets no calls.
     pub(crate) fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns true if a call may be sent; a member that returns gets one at a time.
+    /// Returns true if a call may be sent; after an ejection, a member gets one trial call at a
+    /// time until one succeeds.
     pub(crate) fn is_available(&self, now: Instant) -> bool {
         match self.ejected_until {
             None => true,
@@ -89,7 +91,7 @@
     }
 }
 
-/// Returns true if the answer speaks against the member itself, not against its load.
+/// Returns true if the answer indicates a failure of the member itself rather than overload.
 fn is_failure(answer: &Answer) -> bool {
     match answer.outcome {
         Outcome::Done => false,
--- a/crates/node/src/ticket/builder.rs
+++ b/crates/node/src/ticket/builder.rs
@@ -1,4 +1,4 @@
-//! Makes the tickets of one incarnation of a node.
+//! Builds the ticket store of one incarnation of a node.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::ticket::Tickets;
 
-/// How long a ticket can be used if nothing is said.
+/// Default lifetime of a ticket.
 const DEFAULT_LIFETIME: Duration = Duration::from_mins(5);
-/// The most memory for tickets if nothing is said.
+/// Default limit on the memory for tickets.
 const DEFAULT_MEMORY: ByteSize = ByteSize(16 << 20);
 
-/// Makes the tickets of one incarnation of a node.
+/// Builds the ticket store of one incarnation of a node.
 pub(crate) struct Builder {
     home: NodeName,
     incarnation: Incarnation,
@@ -30,17 +30,17 @@
         }
     }
 
-    /// Sets how long a ticket can be used.
+    /// Sets the lifetime of a ticket.
     pub(crate) fn lifetime(self, lifetime: Duration) -> Self {
         Self { lifetime, ..self }
     }
 
-    /// Sets the most memory for remembered tickets and their answers.
+    /// Sets the memory limit for recorded tickets and their answers.
     pub(crate) fn memory(self, memory: ByteSize) -> Self {
         Self { memory, ..self }
     }
 
-    /// Returns the tickets, none of which is known yet.
+    /// Returns an empty ticket store.
     pub(crate) fn build(self) -> Tickets {
         Tickets {
             home: self.home,
--- a/crates/node/src/ticket/handover.rs
+++ b/crates/node/src/ticket/handover.rs
@@ -1,4 +1,4 @@
-//! What a node that stopped in an orderly way handed over to this one about its tickets.
+//! Answers handed over to this node by nodes that shut down.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,33 +16,34 @@
     pub(crate) answer: Answer,
 }
 
-/// A part of what one life of a node hands over.
+/// A part of the handover of one incarnation of a node.
 #[derive(Debug, Clone)]
 pub(crate) struct Part {
     pub(crate) home: NodeName,
     pub(crate) incarnation: Incarnation,
     pub(crate) entries: Vec<Entry>,
-    /// How many tickets there are in all parts.
+    /// Number of tickets in all parts together.
     pub(crate) total: usize,
 }
 
-/// What one life of a node has handed over.
+/// The handover received from one incarnation of a node.
 #[derive(Debug)]
 struct Received {
     answers: HashMap<u64, Answer>,
     total: usize,
     arrived: Instant,
-    /// The memory of the answers.
+    /// Memory used by the answers.
     bytes: usize,
 }
 
 impl Received {
-    /// Returns true if every ticket that this life ever ran is here.
+    /// Returns true if the outcomes of all tickets that the incarnation had on record have been
+    /// received.
     fn is_complete(&self) -> bool {
         self.answers.len() >= self.total
     }
 
-    /// Keeps an answer and returns by how many bytes that needs more memory.
+    /// Stores an answer and returns the additional memory used, in bytes.
     fn insert(&mut self, entry: Entry) -> usize {
         let bytes = footprint(&entry.answer);
         let previous = self.answers.insert(entry.ticket.serial, entry.answer);
@@ -52,7 +53,7 @@
     }
 }
 
-/// What other nodes have handed over to this one.
+/// All handovers received by this node.
 #[derive(Debug, Default)]
 pub(crate) struct Archive {
     handovers: HashMap<(NodeName, Incarnation), Received>,
@@ -60,7 +61,7 @@
 }
 
 impl Archive {
-    /// Takes in a part of what a node hands over, unless it needs more than `room` bytes.
+    /// Stores a part of a handover, unless it needs more than `available` bytes.
     pub(crate) fn merge(&mut self, part: Part, now: Instant, available: usize) -> bool {
         let sizes = part.entries.iter().map(|entry| footprint(&entry.answer));
         if sizes.sum::<usize>() > available {
@@ -81,10 +82,11 @@
         true
     }
 
-    /// Returns the final answer to a ticket of a life that has ended, if it is known here.
+    /// Returns the final answer for a ticket of an incarnation that has ended, if it is known.
     ///
-    /// A ticket that is missing from a complete handover was never run, and no longer can be; that is
-    /// said only if the ticket is `recent`, since the home may have forgotten an old one.
+    /// A ticket missing from a complete handover was never executed and no longer can be. This is
+    /// only concluded for a `recent` ticket, since the home node may have dropped the record of an
+    /// old one.
     pub(crate) fn lookup(&self, ticket: &Ticket, recent: bool) -> Option<Answer> {
         let key = (ticket.home.clone(), ticket.incarnation);
         let received = self.handovers.get(&key)?;
@@ -95,7 +97,7 @@
         })
     }
 
-    /// Forgets what arrived longer ago than `life`.
+    /// Drops handovers received longer than `retention` ago.
     pub(crate) fn evict_old(&mut self, now: Instant, retention: Duration) {
         let mut freed = 0;
         self.handovers.retain(|_, received| {
@@ -106,13 +108,13 @@
         self.used_bytes -= freed;
     }
 
-    /// Returns the memory that is taken up.
+    /// Returns the memory used.
     pub(crate) fn used_bytes(&self) -> usize {
         self.used_bytes
     }
 }
 
-/// Returns the answer as it is handed over: one whose body is too long is unknown.
+/// Returns the answer to hand over: if the body is too long, an unknown outcome instead.
 pub(crate) fn for_handover(answer: &Answer, max_body: usize) -> Answer {
     if answer.outcome == Outcome::Done && answer.body.len() > max_body {
         return Answer::unknown(Reason::AnswerTooLarge);
--- a/crates/node/src/ticket/mod.rs
+++ b/crates/node/src/ticket/mod.rs
@@ -1,9 +1,9 @@
 //! At-most-once execution by tickets.
 //!
-//! A ticket names the one incarnation of a node that may ever run its request.
-//! That node remembers what became of it, so no other copy runs, and a repeat
-//! gets the first answer. Each ticket has exactly one final outcome; a refusal
-//! is remembered too, so that a late copy cannot run after it.
+//! A ticket names the only incarnation of a node, its home node, that may execute its request. That
+//! node records the outcome, so no other copy is executed and a retry gets the first answer. Each
+//! ticket has exactly one final outcome; a refusal is recorded as well, so that a delayed copy
+//! cannot run after it.
 
 mod builder;
 mod handover;
@@ -28,30 +28,30 @@
 pub(crate) use handover::{Entry, Part};
 use record::{RECORD_OVERHEAD, Record, State, footprint};
 
-/// A ticket minted further in the future than this is not valid.
+/// Limit on the clock skew of a ticket minted in the future.
 const MAX_SKEW: Duration = Duration::from_mins(1);
-/// The most tickets remembered at once.
+/// Limit on the number of tickets recorded at once.
 const MAX_RECORDS: usize = 200_000;
-/// The longest body of an answer that is handed over.
+/// Limit on the body size of an answer that is handed over, in bytes.
 const MAX_HANDED_OVER_BODY: usize = 64 * 1024;
 
-/// What to do with a call that brings a ticket.
+/// What to do with a call that carries a ticket.
 pub(crate) enum Disposition {
-    /// It is the first copy and is to run now.
+    /// This is the first copy: execute it.
     Run,
-    /// A copy of it is running; its answer will come here.
+    /// A copy is running; its answer is sent to this receiver.
     Wait(oneshot::Receiver<Answer>),
-    /// Its final answer is known.
+    /// The final answer is recorded.
     Closed(Answer),
-    /// The ticket is too old; nothing is remembered about it.
+    /// The ticket has expired; its outcome is no longer recorded.
     Expired,
-    /// There is no room to remember it.
+    /// There is no memory left to record the ticket.
     Full,
-    /// It is not for this incarnation of this node.
+    /// The home of the ticket is another node or another incarnation.
     Foreign,
 }
 
-/// The tickets of this incarnation of the node.
+/// The tickets whose home is this incarnation of the node.
 pub(crate) struct Tickets {
     home: NodeName,
     incarnation: Incarnation,
@@ -61,7 +61,7 @@
     records: RefCell<HashMap<u64, Record>>,
     by_arrival: RefCell<VecDeque<(Timestamp, u64)>>,
     used_bytes: Cell<usize>,
-    /// What other nodes handed over when they stopped.
+    /// Answers handed over by other nodes at their shutdown.
     archive: RefCell<Archive>,
 }
 
@@ -70,12 +70,12 @@
 }
 
 impl Tickets {
-    /// Starts to make the tickets of this incarnation of the node.
+    /// Returns a builder for the tickets of this incarnation.
     pub(crate) fn builder(home: NodeName, incarnation: Incarnation) -> Builder {
         Builder::new(home, incarnation)
     }
 
-    /// Makes a ticket whose request only `home` may run.
+    /// Mints a ticket whose request only `home` may execute.
     pub(crate) fn mint(&self, home: NodeName, incarnation: Incarnation) -> Ticket {
         Ticket {
             home,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Makes a ticket whose request only this node may run.
+    /// Mints a ticket whose request only this node may execute.
     pub(crate) fn mint_here(&self) -> Ticket {
         self.mint(self.home.clone(), self.incarnation)
     }
@@ -95,7 +95,7 @@
         ticket.home == self.home && ticket.incarnation == self.incarnation
     }
 
-    /// Says what to do with a call that brings `ticket`.
+    /// Decides what to do with a call that carries `ticket`, and records the ticket if it is new.
     pub(crate) fn begin(&self, ticket: &Ticket) -> Disposition {
         if !self.is_home(ticket) {
             return self.begin_foreign(ticket);
@@ -119,7 +119,7 @@
         Disposition::Run
     }
 
-    /// Says what is known about a ticket of another node that has stopped.
+    /// Looks up the ticket of another node among the handed-over answers.
     fn begin_foreign(&self, ticket: &Ticket) -> Disposition {
         let now = self.clock.now();
         if self.is_expired(ticket.minted, now) {
@@ -131,7 +131,7 @@
         answer.map_or(Disposition::Foreign, Disposition::Closed)
     }
 
-    /// Takes in what a node hands over; returns false if there is no room.
+    /// Stores a part of a handover; returns false if there is not enough memory.
     pub(crate) fn receive(&self, part: Part, now: Instant) -> bool {
         self.evict_handovers(now);
         let mut archive = self.archive.borrow_mut();
@@ -140,15 +140,16 @@
         archive.merge(part, now, available)
     }
 
-    /// Forgets what was handed over when no ticket of that life can be used any more.
+    /// Drops handed-over answers whose tickets have all expired.
     pub(crate) fn evict_handovers(&self, now: Instant) {
         let mut archive = self.archive.borrow_mut();
         archive.evict_old(now, self.lifetime + MAX_SKEW);
     }
 
-    /// Returns what this life hands over about its tickets, in parts of about `size` bytes.
+    /// Returns the handover of this incarnation's tickets, in parts of about `size` bytes.
     ///
-    /// A request that still runs is handed over as unknown, so nobody calls it not run.
+    /// A request that is still running is handed over with an unknown outcome, so that no successor
+    /// reports it as not run.
     pub(crate) fn handover_parts(&self, size: usize) -> Vec<Part> {
         let records = self.records.borrow();
         let total = records.len();
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Keeps the final answer of the request and tells it to all who wait for it.
+    /// Records the final answer of a request and sends it to everyone waiting for it.
     pub(crate) fn close(&self, ticket: &Ticket, answer: &Answer) {
         let mut records = self.records.borrow_mut();
         let Some(record) = records.get_mut(&ticket.serial) else {
@@ -198,14 +199,14 @@
         let earlier = std::mem::replace(&mut record.state, State::Closed(answer.clone()));
         if let State::Running(waiters) = earlier {
             for waiter in waiters {
-                // A waiter that has gone needs no answer.
+                // The waiter may have disconnected.
                 let _ = waiter.send(answer.clone());
             }
         }
     }
 
-    /// Returns how many own tickets are remembered, and the memory they take up with what
-    /// was handed over.
+    /// Returns the number of recorded tickets, and the memory used by them and by handed-over
+    /// answers.
     pub(crate) fn size(&self) -> (usize, ByteSize) {
         let bytes = self.used_bytes.get() + self.archive.borrow().used_bytes();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
@@ -216,11 +217,11 @@
         minted.after(self.lifetime) < now
     }
 
-    /// Forgets the closed requests whose tickets can no longer be used.
+    /// Drops the records of finished requests whose tickets have expired.
     ///
-    /// The clock never goes back, so a forgotten ticket stays expired. Records
-    /// leave in the order in which they came, once twice the life and the
-    /// greatest skew have passed since.
+    /// The clock never goes back, so a ticket stays expired after its record is gone. Records are
+    /// dropped in order of arrival, at the earliest one ticket lifetime plus the maximum skew after
+    /// it.
     fn evict_expired(&self, now: Timestamp) {
         let mut by_arrival = self.by_arrival.borrow_mut();
         let mut records = self.records.borrow_mut();
@@ -242,7 +243,7 @@
     }
 }
 
-/// Closes a ticket as unknown if its execution ends without an answer.
+/// Guard that closes a ticket with an unknown outcome if its execution ends without an answer.
 pub(crate) struct CloseGuard {
     tickets: Rc<Tickets>,
     ticket: Ticket,
--- a/crates/node/src/ticket/record.rs
+++ b/crates/node/src/ticket/record.rs
@@ -1,4 +1,4 @@
-//! What a node remembers about one ticket.
+//! The record of one ticket on its home node.
 
 use futures::channel::oneshot;
 use sailtrack_units::Timestamp;
@@ -6,7 +6,7 @@
 use crate::call::Answer;
 use crate::ticket::Disposition;
 
-/// The memory of a record beside its answer, measured as described in `docs/CAPACITY.md`.
+/// Memory of a record without its answer body, measured as described in `docs/CAPACITY.md`.
 pub(crate) const RECORD_OVERHEAD: usize = 200;
 
 /// Returns the memory of a record with this answer.
@@ -14,22 +14,22 @@
     RECORD_OVERHEAD + answer.body.len()
 }
 
-/// How far the request of a ticket has come.
+/// Progress of the request of a ticket.
 pub(crate) enum State {
-    /// It is running, and these wait for its answer.
+    /// It is running; these senders wait for its answer.
     Running(Vec<oneshot::Sender<Answer>>),
-    /// Its final answer.
+    /// It has ended with this answer.
     Closed(Answer),
 }
 
-/// What a node remembers about one ticket.
+/// The record of one ticket.
 pub(crate) struct Record {
     pub(crate) minted: Timestamp,
     pub(crate) state: State,
 }
 
 impl Record {
-    /// Returns the record of a request that starts to run.
+    /// Returns the record of a request that starts running.
     pub(crate) fn running(minted: Timestamp) -> Self {
         Self {
             minted,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Says what a further copy of the request is to do.
+    /// Decides what to do with a further copy of the request.
     pub(crate) fn join(&mut self) -> Disposition {
         match &mut self.state {
             State::Closed(answer) => Disposition::Closed(answer.clone()),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns the bytes kept of the final answer.
+    /// Returns the length of the recorded answer body, in bytes.
     pub(crate) fn answer_length(&self) -> usize {
         self.final_answer().map_or(0, |answer| answer.body.len())
     }
--- a/crates/node/src/ticket/tests.rs
+++ b/crates/node/src/ticket/tests.rs
@@ -1,4 +1,4 @@
-//! What a home remembers about its tickets, and for how long.
+//! What a home node records about its tickets, for how long, and how it is handed over.
 
 use std::time::{Duration, Instant};
 
@@ -112,7 +112,7 @@
         .build()
 }
 
-/// Returns a home that has answered one ticket, refused another and never saw a third.
+/// Returns a home node that has answered one ticket, refused another and never received a third.
 fn home_with_tickets() -> (Tickets, [Ticket; 3]) {
     let name = "desk-1".parse().expect("a name");
     let home = Tickets::builder(name, Incarnation(7))
--- a/crates/node/src/unknown.rs
+++ b/crates/node/src/unknown.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests whose outcome is not known, until an operator settles them.
+//! Non-idempotent requests whose outcome is unknown, kept until an operator settles them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,10 +11,10 @@
 
 use crate::call::{Call, reason_word};
 
-/// The most unknown outcomes remembered on one node.
+/// Limit on the unknown outcomes kept on one node.
 const MAX_OPEN: usize = 10_000;
 
-/// One request whose outcome is not known.
+/// A request with an unknown outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Unknown {
     pub(crate) ticket: String,
@@ -22,11 +22,11 @@
     pub(crate) kind: KindName,
     pub(crate) reason: String,
     pub(crate) since: Timestamp,
-    /// The node that noted it.
+    /// The node that recorded it.
     pub(crate) node: NodeName,
 }
 
-/// The unknown outcomes that this node has met.
+/// The unknown outcomes recorded by this node.
 pub(crate) struct Unknowns {
     node: NodeName,
     open: RefCell<BTreeMap<String, Unknown>>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Notes that the outcome of a call is not known.
+    /// Records that the outcome of a call is unknown.
     pub(crate) fn record(&self, call: &Call, ticket: &Ticket, reason: Reason) {
         let mut open = self.open.borrow_mut();
         let key = ticket.to_string();
@@ -76,12 +76,12 @@
         open.insert(key, unknown);
     }
 
-    /// Forgets a request whose outcome has become known.
+    /// Removes a request whose outcome has become known.
     pub(crate) fn resolve(&self, ticket: &Ticket) {
         self.forget(&ticket.to_string());
     }
 
-    /// Forgets the request with this ticket; returns true if it was there.
+    /// Removes the request with this ticket; returns true if it was recorded.
     pub(crate) fn forget(&self, ticket: &str) -> bool {
         let was_open = self.open.borrow_mut().remove(ticket).is_some();
         if was_open {
@@ -90,24 +90,24 @@
         was_open
     }
 
-    /// Returns the open requests, the oldest first.
+    /// Returns the unsettled requests, oldest first.
     pub(crate) fn open(&self) -> Vec<Unknown> {
         let mut open: Vec<Unknown> = self.open.borrow().values().cloned().collect();
         open.sort_by_key(|unknown| unknown.since);
         open
     }
 
-    /// Takes what has not been written to the platform yet.
+    /// Takes the outcomes that have not been written to the platform yet.
     pub(crate) fn drain_unsaved(&self) -> Vec<Unknown> {
         std::mem::take(&mut self.unsaved.borrow_mut())
     }
 
-    /// Takes the tickets whose rows on the platform are to go.
+    /// Takes the tickets whose rows on the platform are to be removed.
     pub(crate) fn drain_resolved(&self) -> Vec<String> {
         std::mem::take(&mut self.resolved.borrow_mut())
     }
 
-    /// Puts back what could not be written.
+    /// Puts back an outcome that could not be written.
     pub(crate) fn put_back(&self, unknown: Unknown) {
         self.unsaved.borrow_mut().push(unknown);
     }
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The own upstream: what it announced, and the connections to it.
+//! The upstream of this node: its announcements and the connections to it.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 use sailtrack_net::http::{ExchangeError, Pool, Request, Response};
 use serde::Deserialize;
 
-/// An upstream that has not announced itself for this long is gone.
+/// An upstream whose last announcement is older than this is considered gone.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(5);
-/// The most unused connections kept to an upstream.
+/// Limit on idle connections to an upstream.
 const POOL_CAPACITY: usize = 1024;
 
-/// What an upstream says of itself.
+/// The state that an upstream announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum UpstreamState {
@@ -32,15 +32,15 @@
 pub(crate) struct Announcement {
     pub(crate) address: SocketAddr,
     pub(crate) state: UpstreamState,
-    /// Tells one life of the upstream from the next.
+    /// Distinguishes incarnations of the upstream.
     pub(crate) life: u64,
-    /// How many calls it can run at once.
+    /// Number of calls that it can run at once.
     pub(crate) slots: Option<u32>,
-    /// The load that it reports, which may lag or mislead.
+    /// The reported load, which may be outdated or wrong.
     pub(crate) load: Option<f64>,
 }
 
-/// The own upstream.
+/// The upstream of this node.
 #[derive(Default)]
 pub(crate) struct Upstream {
     announced: RefCell<Option<(Announcement, Instant)>>,
@@ -54,7 +54,7 @@
 }
 
 impl Upstream {
-    /// Takes in an announcement; returns true if it is that of a new life.
+    /// Processes an announcement; returns true if it is from a new incarnation.
     pub(crate) fn announce(&self, announcement: Announcement, now: Instant) -> bool {
         let mut announced = self.announced.borrow_mut();
         let is_same_incarnation = announced.as_ref().is_some_and(|(known, _)| {
@@ -70,14 +70,14 @@
         !is_same_incarnation
     }
 
-    /// Returns true if the upstream takes calls.
+    /// Returns true if the upstream accepts calls.
     pub(crate) fn is_ready(&self, now: Instant) -> bool {
         !self.unreachable.get()
             && !self.drained.get()
             && self.state(now) == Some(UpstreamState::Ready)
     }
 
-    /// Returns what the upstream says of itself, unless its announcement is too old.
+    /// Returns the announced state, unless the announcement is too old.
     pub(crate) fn state(&self, now: Instant) -> Option<UpstreamState> {
         let announced = self.announced.borrow();
         let (announcement, at) = announced.as_ref()?;
@@ -85,22 +85,22 @@
         (age < ANNOUNCEMENT_TTL).then_some(announcement.state)
     }
 
-    /// Returns how many slots the upstream says it has.
+    /// Returns the announced number of slots.
     pub(crate) fn slots(&self) -> Option<u32> {
         self.announced.borrow().as_ref()?.0.slots
     }
 
-    /// Returns the load that the upstream says it has.
+    /// Returns the announced load.
     pub(crate) fn reported_load(&self) -> Option<f64> {
         self.announced.borrow().as_ref()?.0.load
     }
 
-    /// Notes that the upstream does not accept connections, until it announces itself again.
+    /// Marks the upstream as unreachable until its next announcement.
     pub(crate) fn mark_unreachable(&self) {
         self.unreachable.set(true);
     }
 
-    /// Notes whether operators took the upstream out of service.
+    /// Sets whether operators have drained the upstream.
     pub(crate) fn set_drained(&self, drained: bool) {
         self.drained.set(drained);
     }
@@ -115,16 +115,16 @@
         Some(pool.exchange(request, deadline).await)
     }
 
-    /// Opens connections to the upstream before they are needed.
+    /// Opens connections to the upstream in advance.
     pub(crate) async fn preconnect(&self, count: usize) {
         let pool = self.pool.borrow().clone();
         if let Some(pool) = pool {
-            // A connection that cannot be opened now is opened with the first call.
+            // A connection that cannot be opened now is opened by the first call.
             let _ = pool.warm(count).await;
         }
     }
 
-    /// Returns how many connections to the upstream are open and unused.
+    /// Returns the number of idle connections to the upstream.
     pub(crate) fn idle_connections(&self) -> usize {
         self.pool
             .borrow()
