--- a/crates/node/src/configuration/accept.rs
+++ b/crates/node/src/configuration/accept.rs
@@ -1,8 +1,8 @@
-//! Accepts an operator's change by compare-and-set of the configuration's row.
+//! Accepts an operator's change by compare-and-swap on the configuration's row.
 //!
-//! The write that takes effect is the acceptance. When its answer is lost the
-//! row is read, and if the write is not there a fence is written, after which
-//! it cannot take effect any more; only then is anything said to the operator.
+//! The write that takes effect is the acceptance. If its answer is lost, the row is read; if the
+//! write is not there, a fence is written, after which the write can no longer take effect. Only
+//! then is the operator answered.
 
 use std::rc::Rc;
 
@@ -14,34 +14,34 @@
 use crate::configuration::{CONFIG_KEY, Change, Configuration, Content, Source};
 use crate::platform::{Platform, PlatformError, Precondition, Row, Written};
 
-/// The most changes kept in the history.
+/// Limit on the changes kept in the history.
 const MAX_HISTORY: usize = 64;
-/// How often an unanswered write is looked for before the outcome is called unknown.
+/// Number of attempts to find an unanswered write before its outcome is reported as unknown.
 const RESOLVE_ATTEMPTS: u32 = 3;
-/// The summary of a change that only keeps an earlier write from taking effect.
+/// Summary of a change that only fences off an earlier write.
 const FENCE: &str = "fence";
 
-/// A change that an operator asks for.
+/// A change proposed by an operator.
 #[derive(Debug, Clone)]
 pub(crate) struct Proposal {
     pub(crate) command: String,
     pub(crate) operator: OperatorName,
-    /// The version that the operator based the change on.
+    /// The version on which the operator based the change.
     pub(crate) base: ConfigVersion,
     pub(crate) summary: String,
     pub(crate) declaration: Declaration,
 }
 
-/// What became of a change.
+/// The outcome of a proposed change.
 #[derive(Debug, Clone)]
 pub(crate) enum Acceptance {
-    /// It was accepted as this version.
+    /// The change was accepted as this version.
     Accepted(ConfigVersion),
     /// Another change was accepted first; this one had no effect.
     Conflict(Option<Change>, ConfigVersion),
-    /// It had no effect and cannot take effect later.
+    /// The change had no effect and cannot take effect later.
     Refused(PlatformError),
-    /// It may or may not take effect; ask again by the command's id.
+    /// The change may or may not take effect; its outcome can be queried by the command's id.
     Unknown,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Acceptor {
-    /// Tries to get a change accepted and says what became of it.
+    /// Proposes a change and returns its outcome.
     pub(crate) async fn accept(&self, proposal: Proposal) -> Acceptance {
         let base = proposal.base;
         let value = self.content_with(&proposal);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Finds out what became of a command that was based on `base`.
+    /// Determines the outcome of a command that was based on `base`.
     pub(crate) async fn resolve(
         &self,
         command: &str,
@@ -98,7 +98,7 @@
         Acceptance::Unknown
     }
 
-    /// Raises the version without a change, so that an earlier write can no longer take effect.
+    /// Increments the version without a change, so that an earlier write can no longer take effect.
     async fn fence(&self, operator: &OperatorName, row: Option<&Row>) {
         let content = row.and_then(|row| serde_json::from_str(&row.value).ok());
         let mut content: Content = content.unwrap_or_default();
@@ -117,7 +117,7 @@
             0 => Precondition::Absent,
             version => Precondition::Version(version),
         };
-        // Whether it took effect is seen by the next reading.
+        // The next read shows whether the fence took effect.
         let _ = self
             .platform
             .write(CONFIG_KEY, expect, encode(&content))
@@ -154,7 +154,7 @@
         Acceptance::Accepted(version)
     }
 
-    /// Returns the outcome of a command whose version is not the one that it wrote itself.
+    /// Returns the outcome of a command after its row was found at a newer version.
     fn outcome_of(&self, command: &str, operator: &OperatorName, row: &Row) -> Acceptance {
         self.activate(row, Source::Platform);
         let content: Content = serde_json::from_str(&row.value).unwrap_or_default();
@@ -183,7 +183,7 @@
 
     fn activate(&self, row: &Row, source: Source) {
         let version = ConfigVersion(row.version);
-        // A configuration that cannot be read is logged where it is refused.
+        // A configuration that cannot be parsed is logged by `advance`.
         let _ = self.configuration.advance(version, &row.value, source);
     }
 }
--- a/crates/node/src/configuration/change.rs
+++ b/crates/node/src/configuration/change.rs
@@ -8,12 +8,12 @@
 pub(crate) struct Change {
     /// The id of the command that made it.
     pub(crate) command: String,
-    /// Who gave the command.
+    /// The operator who issued the command.
     pub(crate) operator: OperatorName,
-    /// The version that it made.
+    /// The version that it created.
     pub(crate) version: ConfigVersion,
     /// When it was accepted.
     pub(crate) at: Timestamp,
-    /// What it changed, in a few words.
+    /// A short description of the change.
     pub(crate) summary: String,
 }
--- a/crates/node/src/configuration/fetch.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -1,4 +1,5 @@
-//! Brings newer versions to this node, from peers at once and from the platform by polling.
+//! Fetches newer configurations: from peers as soon as they report them, and from the platform by
+//! polling.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,10 +15,10 @@
 use crate::peer::Peers;
 use crate::platform::Platform;
 
-/// The first readings are this far apart, so that a new node serves soon.
+/// Poll interval before the first version, short so that a new node can serve soon.
 const INITIAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Brings newer versions to this node and tells others about them.
+/// Fetches newer configurations and gossips about them.
 pub(crate) struct Fetcher {
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) platform: Rc<Platform>,
@@ -27,7 +28,7 @@
 }
 
 impl Fetcher {
-    /// Reads the platform's version now and then, for as long as the task lives.
+    /// Polls the platform's version until the task ends.
     pub(crate) async fn poll(self: Rc<Self>) {
         loop {
             let version = self.configuration.version();
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Fetches the versions that peers are heard to have, for as long as the task lives.
+    /// Fetches the versions that peers report, until the task ends.
     pub(crate) async fn fetch(
         self: Rc<Self>,
         mut newer_versions: mpsc::Receiver<(ConfigVersion, Peer)>,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Returns the time to the next reading, spread so that nodes do not read together.
+    /// Returns the time to the next poll, with jitter so that nodes do not poll together.
     fn poll_interval(&self) -> Duration {
         if self.configuration.version() == ConfigVersion::default() {
             return INITIAL_POLL_INTERVAL;
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, which only ever moves to a higher version.
+//! The active configuration, whose version only increases.
 
 mod accept;
 mod change;
@@ -27,12 +27,12 @@
 /// The key of the row that holds the configuration.
 pub(crate) const CONFIG_KEY: &str = "config";
 
-/// What stands in the configuration's row.
+/// The value of the configuration's row.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Content {
     /// The declaration, as INI text.
     pub(crate) declaration: String,
-    /// The latest changes, the newest last.
+    /// The latest changes, oldest first.
     pub(crate) history: Vec<Change>,
 }
 
@@ -44,7 +44,7 @@
     pub(crate) content: Content,
 }
 
-/// Why a configuration that came in was not put into force.
+/// Why a received configuration was not activated.
 #[derive(Debug, Display)]
 pub(crate) enum ContentError {
     /// the content is damaged
@@ -55,7 +55,7 @@
 
 impl std::error::Error for ContentError {}
 
-/// Where a configuration came from.
+/// The source of a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum Source {
     /// platform
@@ -66,10 +66,10 @@
     Operator,
 }
 
-/// Calls itself whenever a version has been put into force.
+/// Called after each activation of a version.
 type Callback = Box<dyn Fn(&Version)>;
 
-/// The configuration in force on this node.
+/// The active configuration of this node.
 pub(crate) struct Configuration {
     current: RefCell<Rc<Version>>,
     newer_versions: RefCell<Option<mpsc::Sender<(ConfigVersion, Peer)>>>,
@@ -89,35 +89,35 @@
         }
     }
 
-    /// Returns the version in force; its number is zero before the first one.
+    /// Returns the active version; its number is zero before the first one.
     pub(crate) fn current(&self) -> Rc<Version> {
         Rc::clone(&self.current.borrow())
     }
 
-    /// Returns the number of the version in force.
+    /// Returns the number of the active version.
     pub(crate) fn version(&self) -> ConfigVersion {
         self.current.borrow().number
     }
 
-    /// Calls `listener` for every version that is put into force from now on.
+    /// Registers a callback for every version activated from now on.
     pub(crate) fn on_change(&self, callback: impl Fn(&Version) + 'static) {
         self.callbacks.borrow_mut().push(Box::new(callback));
     }
 
-    /// Sends what is heard of newer versions to `receiver`.
+    /// Sends the newer versions that peers report to `receiver`.
     pub(crate) fn send_newer_to(&self, receiver: mpsc::Sender<(ConfigVersion, Peer)>) {
         *self.newer_versions.borrow_mut() = Some(receiver);
     }
 
-    /// Notes that `peer` has a newer version.
+    /// Reports that `peer` has a newer version.
     pub(crate) fn report_newer(&self, version: ConfigVersion, peer: &Peer) {
         if let Some(newer_versions) = self.newer_versions.borrow_mut().as_mut() {
-            // A full channel means that a fetch is under way already.
+            // If the channel is full, fetches are already pending.
             let _ = newer_versions.try_send((version, peer.clone()));
         }
     }
 
-    /// Puts a version into force if it is higher than the present one; returns true if it was.
+    /// Activates a version if it is higher than the current one; returns true if it was.
     pub(crate) fn advance(
         &self,
         number: ConfigVersion,
--- a/crates/node/src/configuration/tests.rs
+++ b/crates/node/src/configuration/tests.rs
@@ -1,4 +1,4 @@
-//! A node only moves up, and keeps what it has when it cannot read what comes.
+//! Versions only increase, and an invalid configuration does not replace the active one.
 
 use sailtrack_units::ConfigVersion;
 
--- a/crates/node/src/membership/digest.rs
+++ b/crates/node/src/membership/digest.rs
@@ -1,4 +1,4 @@
-//! A short digest of all that a node knows about the members.
+//! A digest of the membership view, used for anti-entropy.
 
 use sailtrack_wire::{Member, State};
 use xxhash_rust::xxh3::xxh3_64;
@@ -6,9 +6,9 @@
 use crate::membership::Membership;
 
 impl Membership {
-    /// Returns a digest that is equal on nodes that know the same members.
+    /// Returns a digest that is equal on nodes with the same view of the members.
     ///
-    /// The dead are left out, since nodes forget them at different times.
+    /// Dead members are left out, since nodes drop their records at different times.
     pub(crate) fn digest(&self) -> u64 {
         let records = self.records.borrow();
         let present = records
--- a/crates/node/src/membership/gossip.rs
+++ b/crates/node/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes: probes, news and the version of the configuration.
+//! Gossip by datagrams: probes, membership updates and the version of the configuration.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,14 +18,14 @@
 use crate::metrics::Metrics;
 use crate::settings::Detector;
 
-/// How many members are told at once about a new configuration or a leaving node.
+/// Number of members to which an update is sent at once.
 const FAN_OUT: usize = 4;
-/// A probe for somebody else is forgotten after this many further datagrams.
+/// A relayed probe is forgotten after this many further datagrams.
 const RELAY_RETENTION: u64 = 1000;
-/// A member that is behind is told so at most this often.
+/// Minimum interval between notices to a member that has an older configuration.
 const STALE_NOTICE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The exchange of datagrams with other nodes.
+/// Sends and receives the datagrams of the membership protocol.
 pub(crate) struct Gossip {
     pub(crate) detector: Detector,
     pub(crate) membership: Rc<Membership>,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Receives datagrams for as long as the task lives.
+    /// Receives datagrams until the task ends.
     pub(crate) async fn receive(self: Rc<Self>) {
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
@@ -111,7 +111,7 @@
             Purpose::Ack => {
                 self.handle_ack(datagram.sequence, differs).await;
                 if changed && differs {
-                    // Somebody who has more to tell is asked again at once.
+                    // A member with more updates is pinged again at once.
                     self.sync(&peer).await;
                 }
             }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Fetches a newer configuration, or tells the sender that it is behind.
+    /// Has a newer configuration fetched, or notifies the sender that its own is outdated.
     async fn compare_version(&self, peer: &Peer, version: ConfigVersion) {
         self.versions
             .borrow_mut()
@@ -155,7 +155,7 @@
     async fn handle_ack(&self, sequence: u64, differs: bool) {
         let waiter = self.pending.borrow_mut().remove(&sequence);
         if let Some(waiter) = waiter {
-            // The probe may have ended its wait.
+            // The probe may have timed out.
             let _ = waiter.send(());
         }
         let relay = self.relays.borrow_mut().remove(&sequence);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Probes a member for somebody who could not reach it.
+    /// Probes a member on behalf of a node that could not reach it.
     async fn relay_ping(&self, datagram: &Datagram, origin: &Peer) {
         let Ok(name) = datagram.target.parse() else {
             return;
@@ -185,7 +185,7 @@
         relays.insert(sequence, (origin, origin_sequence));
     }
 
-    /// Tells some members at once what is new here.
+    /// Sends updates to a few random members at once.
     pub(crate) async fn spread(&self) {
         let alive = self.membership.alive();
         let selected: Vec<Rc<Peer>> = alive
@@ -197,21 +197,21 @@
         }
     }
 
-    /// Tells every living member at once what is new here.
+    /// Sends updates to every live member at once.
     pub(crate) async fn broadcast(&self) {
         for peer in self.membership.alive() {
             self.send(Purpose::Rumor, 0, &peer, false).await;
         }
     }
 
-    /// Asks every living member for the version that it has in force.
+    /// Asks every live member for its configuration version.
     pub(crate) async fn query_versions(&self) {
         for peer in self.membership.alive() {
             self.send(Purpose::VersionQuery, 0, &peer, false).await;
         }
     }
 
-    /// Returns the version that a member last said it has in force.
+    /// Returns the configuration version that a member last reported.
     pub(crate) fn version_of(&self, name: &NodeName) -> ConfigVersion {
         let versions = self.versions.borrow();
         versions.get(name).copied().unwrap_or_default()
@@ -236,7 +236,7 @@
 
     pub(crate) async fn send(&self, purpose: Purpose, sequence: u64, peer: &Peer, differs: bool) {
         let mut datagram = self.datagram(purpose, sequence);
-        // A member that hears what it is accused of can contradict it.
+        // A member that learns that it is suspected can refute it.
         datagram
             .members
             .extend(self.membership.suspicion_of(&peer.name));
@@ -244,7 +244,7 @@
         self.send_datagram(&datagram, peer.address).await;
     }
 
-    /// Pings a member with all that fits, without waiting for its answer.
+    /// Pings a member with as many records as fit, without waiting for the answer.
     pub(crate) async fn sync(&self, peer: &Peer) {
         let sequence = self.next_sequence();
         self.send(Purpose::Ping, sequence, peer, true).await;
@@ -253,7 +253,7 @@
     pub(crate) async fn send_datagram(&self, datagram: &Datagram, address: SocketAddr) {
         let bytes = encode_datagram(datagram);
         self.metrics.record_control_sent(bytes.len());
-        // A datagram that cannot be sent is like one that was lost.
+        // A datagram that cannot be sent counts as lost.
         let _ = self.socket.send_to(bytes, address).await;
     }
 }
--- a/crates/node/src/membership/member.rs
+++ b/crates/node/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One member as this node knows it.
+//! Members and what this node knows about them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use sailtrack_units::{DomainName, Incarnation, NodeName, ServiceName};
 use sailtrack_wire::{Member, State, WireError};
 
-/// Who a member is and where it can be reached.
+/// Identity and address of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Peer {
     pub(crate) name: NodeName,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What is known about a member, and how often that was passed on.
+/// The record of a member, and how often it has been sent on.
 #[derive(Debug)]
 pub(crate) struct Record {
     pub(crate) peer: Rc<Peer>,
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Returns true if `update` says something newer.
+    /// Returns true if `update` is newer than the record.
     ///
-    /// A later life goes before an earlier one, then a later revision; within
-    /// one revision only a graver state is news.
+    /// A higher incarnation takes precedence, then a higher revision; within a revision only a
+    /// worse state replaces a better one.
     pub(crate) fn is_older_than(&self, update: &Member) -> bool {
         let own = (self.peer.incarnation.0, self.revision, self.state as i32);
         own < (update.incarnation, update.revision, update.state)
@@ -69,7 +69,7 @@
         self.send_count = 0;
     }
 
-    /// Returns the member as it is passed on.
+    /// Returns the record as it is sent to others.
     pub(crate) fn to_member(&self) -> Member {
         Member {
             node: self.peer.name.to_string(),
--- a/crates/node/src/membership/mod.rs
+++ b/crates/node/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who the members of the deployment are, learned from announcements and gossip.
+//! The members of the deployment, learned by gossip.
 
 mod digest;
 mod gossip;
@@ -22,7 +22,7 @@
 pub(crate) use gossip::Gossip;
 pub(crate) use member::{Peer, Record};
 
-/// The members that this node knows, itself included.
+/// All members known to this node, including itself.
 pub(crate) struct Membership {
     local_member: RefCell<Member>,
     records: RefCell<BTreeMap<NodeName, Record>>,
@@ -46,22 +46,22 @@
         }
     }
 
-    /// Notes that another node knows the same members as this one.
+    /// Records that another node has the same view of the members.
     pub(crate) fn mark_converged(&self) {
         self.converged.set(true);
     }
 
-    /// Returns true if some other node has known the same members as this one.
+    /// Returns true if some other node has had the same view of the members.
     pub(crate) fn has_converged(&self) -> bool {
         self.converged.get()
     }
 
-    /// Returns what this node says of itself.
+    /// Returns the record that this node publishes about itself.
     pub(crate) fn local_member(&self) -> Member {
         self.local_member.borrow().clone()
     }
 
-    /// Changes what this node says of itself; returns true if that is new.
+    /// Updates the record that this node publishes about itself; returns true if it changed.
     pub(crate) fn update_local_state(&self, state: State, slots: u32) -> bool {
         let mut local_member = self.local_member.borrow_mut();
         if local_member.state() == state && local_member.slots == slots {
@@ -98,7 +98,7 @@
         Some((Rc::clone(&record.peer), record.state))
     }
 
-    /// Returns the record of a member that is suspected or held for dead.
+    /// Returns the record of a member that is suspected or considered dead.
     pub(crate) fn suspicion_of(&self, name: &NodeName) -> Option<Member> {
         let records = self.records.borrow();
         let record = records.get(name)?;
@@ -115,17 +115,17 @@
         pairs.collect()
     }
 
-    /// Returns every other member that is not held for dead.
+    /// Returns every other member that is not considered dead.
     pub(crate) fn alive(&self) -> Vec<Rc<Peer>> {
         let all = self.all().into_iter();
         let alive = all.filter(|(_, state)| *state != State::Dead);
         alive.map(|(peer, _)| peer).collect()
     }
 
-    /// Takes in what somebody says about a member; returns true if it was news.
+    /// Merges an update about a member; returns true if it was new.
     ///
-    /// A dead member that is not known here is no news: nodes would remind each other of it
-    /// for ever.
+    /// An update that a member unknown here is dead is ignored: otherwise nodes would keep
+    /// reminding each other of it forever.
     pub(crate) fn merge(&self, update: &Member, now: Instant) -> bool {
         if update.node == self.local_member.borrow().node {
             return self.refute(update);
@@ -150,12 +150,13 @@
         true
     }
 
-    /// Suspects a member that did not answer; only a serving or leaving one can be.
+    /// Marks a member that did not answer as suspect, unless it already is suspect or dead.
     pub(crate) fn suspect(&self, name: &NodeName, now: Instant) {
         self.change_state(name, State::Suspect, now);
     }
 
-    /// Holds the suspects for dead that did not answer for themselves in time, and forgets old ones.
+    /// Marks suspects as dead that did not refute the suspicion in time, and drops the records of
+    /// members that have been dead for long; returns the newly dead.
     pub(crate) fn expire(&self, now: Instant, detector: &Detector) -> Vec<Rc<Peer>> {
         let overdue: Vec<Rc<Peer>> = {
             let records = self.records.borrow();
@@ -188,7 +189,7 @@
         self.invalidate();
     }
 
-    /// Contradicts a rumor that this node is suspect or dead.
+    /// Refutes an update that says this node is suspect or dead.
     fn refute(&self, update: &Member) -> bool {
         let mut local_member = self.local_member.borrow_mut();
         let about_me = update.incarnation == local_member.incarnation
--- a/crates/node/src/membership/probe.rs
+++ b/crates/node/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes the other members, one after the other in random order.
+//! Failure detection: probes the other members one by one in random order.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,13 +10,13 @@
 
 use crate::membership::{Gossip, Membership, Peer};
 
-/// How many other members are asked to probe one that did not answer.
+/// Number of members asked to probe indirectly a member that did not answer.
 const INDIRECT_PROBES: usize = 2;
-/// One in this many rounds looks for members held for dead.
+/// Dead members are probed once in this many rounds.
 const DEAD_PROBE_ROUNDS: u64 = 4;
 
 impl Gossip {
-    /// Probes members for as long as the task lives; tells `lost` who is held for dead.
+    /// Probes members until the task ends; calls `on_dead` for each member declared dead.
     pub(crate) async fn probe(self: Rc<Self>, on_dead: impl Fn(&Peer)) {
         let mut order: Vec<Rc<Peer>> = Vec::new();
         let mut round: u64 = 0;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Pings one member that is held for dead; if it lives, it will contradict that.
+    /// Pings a random member considered dead; if it is alive, it refutes that.
     async fn probe_dead(&self) {
         let all = self.membership.all();
         let dead: Vec<_> = all
@@ -92,7 +92,7 @@
     }
 }
 
-/// Returns the next member to probe, in an order that is drawn anew when it is used up.
+/// Returns the next member to probe, in a random order that is reshuffled after each pass.
 fn next(order: &mut Vec<Rc<Peer>>, membership: &Membership) -> Option<Rc<Peer>> {
     if order.is_empty() {
         *order = membership.alive();
--- a/crates/node/src/membership/rumor.rs
+++ b/crates/node/src/membership/rumor.rs
@@ -1,4 +1,4 @@
-//! Chooses what about the members goes into a datagram.
+//! Selects the membership updates that go into a datagram.
 
 use prost::Message as _;
 use rand::seq::SliceRandom as _;
@@ -7,13 +7,14 @@
 
 use crate::membership::Membership;
 
-/// News is passed on this many times for each doubling of the number of members.
+/// An update is sent this many times for each doubling of the number of members.
 const SENDS_PER_DOUBLING: u32 = 3;
-/// The bytes that frame one member in a datagram.
+/// Encoding overhead of one member in a datagram, in bytes.
 const MEMBER_FRAMING: usize = 3;
 
 impl Membership {
-    /// Fills the datagram with news, and with anything else if `differs` says that digests differ.
+    /// Fills the datagram with recent updates, and with other records too if `differs` says that
+    /// the digests differ.
     pub(crate) fn fill(&self, datagram: &mut Datagram, differs: bool) {
         let mut available = MAX_DATAGRAM.saturating_sub(datagram.encoded_len());
         for (name, member) in self.select_updates(differs) {
--- a/crates/node/src/membership/tests.rs
+++ b/crates/node/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! What a node takes in about members, and when it forgets them.
+//! Which membership updates a node accepts, and when it drops the records of dead members.
 
 use std::time::{Duration, Instant};
 
@@ -55,7 +55,7 @@
     let later = now + RETENTION;
     nodes[0].expire(later, &detector());
     assert!(nodes[0].all().is_empty());
-    // The other one has not forgotten yet and tells what it knows.
+    // The other node still has the record and sends it on.
     nodes[0].merge(&member("desk-3", State::Dead), later);
     nodes[1].expire(later, &detector());
     assert!(nodes[0].all().is_empty());
