--- a/crates/node/src/peer/accept.rs
+++ b/crates/node/src/peer/accept.rs
@@ -1,4 +1,4 @@
-//! Serves the connections of other nodes, one task for each connection and each call.
+//! Serves connections from other nodes, with one task for each connection and each call.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -29,14 +29,14 @@
 use crate::ticket::Tickets;
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
-/// How long a new connection may take to say hello.
+/// Time limit for the hello on a new connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most calls open at once on one connection.
+/// Limit on the open calls of one connection.
 const MAX_OPEN_CALLS: usize = 4096;
-/// The most connections open at once.
+/// Limit on open connections.
 const MAX_CONNECTIONS: usize = 2048;
 
-/// Serves the connections of other nodes.
+/// Serves connections from other nodes.
 pub(crate) struct Acceptor {
     pub(crate) membership: Rc<Membership>,
     pub(crate) configuration: Rc<Configuration>,
@@ -49,11 +49,11 @@
     const NAME: &'static str = "peer-acceptor";
 }
 
-/// The calls that are open on one connection.
+/// The open calls of one connection.
 type OpenCalls = Rc<RefCell<HashMap<u64, AbortHandle>>>;
 
 impl Acceptor {
-    /// Accepts connections for as long as the task lives.
+    /// Accepts connections until the task ends.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let bounds = Bounds {
             port: "peer",
@@ -71,7 +71,7 @@
         let (read, write) = stream.into_split();
         let (mut outgoing, frames) = mpsc::channel(OUTGOING_CAPACITY);
         task::spawn("peer writer", async move {
-            // The reading side ends the connection when writing fails.
+            // The reading side closes the connection if writing fails.
             let _ = write_frames(write, frames).await;
         });
         let mut reader = FrameReader::new(read);
@@ -120,7 +120,8 @@
                 }
                 Body::Fetch(fetch) => self.send_config(fetch, outgoing),
                 Body::Handover(handover) => self.receive_handover(handover, outgoing),
-                // Everything else is for the other direction or for the port of sailtrack-mesh.
+                // The other messages are for the opposite direction or for the peer port of
+                // sailtrack-mesh.
                 _ => {}
             }
         }
@@ -144,7 +145,7 @@
                 let answer = acceptor.answer(message, too_many).await;
                 send_answer(&mut outgoing, exchange, answer).await;
             };
-            // An aborted call was cancelled and needs no answer.
+            // An aborted call was cancelled by the caller and needs no answer.
             let _ = Abortable::new(work, registration).await;
             open.borrow_mut().remove(&exchange);
         });
@@ -162,7 +163,8 @@
         }
     }
 
-    /// Accounts for a client's request, which is repeated as its kind is declared here.
+    /// Accounts for a client's request; this node's declaration decides whether its kind may be
+    /// retried.
     async fn account(&self, call: Call) -> Answer {
         let current = self.configuration.current();
         let kind = current.declaration.kind(&call.kind);
@@ -170,7 +172,7 @@
         self.accountant.account(Call { repeat, ..call }).await
     }
 
-    /// Takes in what a node hands over, and says whether there was room.
+    /// Stores a part of a handover and reports whether there was enough memory.
     fn receive_handover(&self, handover: Handover, outgoing: &mpsc::Sender<Body>) {
         let exchange = handover.exchange;
         let part = part_from_wire(handover);
@@ -181,7 +183,7 @@
             Answer::not_run(Reason::RecordsFull)
         };
         let head = answer_to_wire(exchange, &answer);
-        // Without an answer the other side takes it for not taken.
+        // Without an answer the other side treats the part as refused.
         let _ = outgoing.clone().try_send(Body::Answer(head));
     }
 
@@ -195,12 +197,12 @@
             version: current.number.0,
             text,
         };
-        // A full channel only delays the fetch to the next news.
+        // If the channel is full, the peer fetches again at the next report of a newer version.
         let _ = outgoing.clone().try_send(Body::Config(config));
     }
 }
 
-/// Sends an answer, a long body in chunks so that others are not held up.
+/// Sends an answer; a long body goes in chunks so that it does not delay other answers.
 async fn send_answer(outgoing: &mut mpsc::Sender<Body>, exchange: u64, answer: Answer) {
     let mut head = answer_to_wire(exchange, &answer);
     let mut rest = answer.body;
--- a/crates/node/src/peer/convert.rs
+++ b/crates/node/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Calls and answers as wire messages.
+//! Conversion of calls, answers and handovers to and from wire messages.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns the call that a message stands for.
+/// Returns the call in a message.
 pub(crate) fn call_from_wire(message: wire::Call) -> Result<Call, WireError> {
     let ticket = message.ticket.clone().map(Ticket::try_from).transpose()?;
     let repeat = match ticket {
@@ -58,7 +58,7 @@
     })
 }
 
-/// The longest time left that is taken from a message, in microseconds.
+/// Limit on the time left that is accepted from a message: one day, in microseconds.
 const MAX_TIME_LEFT_US: u64 = 86_400_000_000;
 
 /// Returns the head of the message for an answer, without its body.
@@ -79,7 +79,7 @@
     }
 }
 
-/// Returns the answer that a message stands for.
+/// Returns the answer in a message.
 pub(crate) fn answer_from_wire(message: wire::Answer) -> Answer {
     Answer {
         outcome: message.outcome(),
@@ -95,7 +95,7 @@
     }
 }
 
-/// Returns the message for a part of what a node hands over.
+/// Returns the message for a part of a handover.
 pub(crate) fn part_to_wire(exchange: u64, part: &Part) -> wire::Handover {
     let entries = part.entries.iter().map(|entry| wire::Kept {
         serial: entry.ticket.serial,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Returns the part of what a node hands over that a message stands for.
+/// Returns the part of a handover in a message.
 pub(crate) fn part_from_wire(message: wire::Handover) -> Result<Part, WireError> {
     let home: NodeName = message.home.parse()?;
     let incarnation = Incarnation(message.incarnation);
--- a/crates/node/src/peer/link.rs
+++ b/crates/node/src/peer/link.rs
@@ -24,10 +24,10 @@
 use crate::ticket::Part;
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
-/// How long opening a connection may take.
+/// Time limit for connecting, and again for the hello.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where a connection is in its life.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Opening,
@@ -49,7 +49,7 @@
 }
 
 impl Link {
-    /// Starts to open a connection; [`Link::ready`] says when that has ended.
+    /// Starts opening a connection; [`Link::ready`] waits for the result.
     pub(crate) fn open(
         peer: Rc<Peer>,
         source: IpAddr,
@@ -86,7 +86,7 @@
         self.is_open()
     }
 
-    /// Returns true if the link leads to this life of the peer at this address.
+    /// Returns true if the link connects to this incarnation of the peer at this address.
     pub(crate) fn is_for(&self, peer: &Peer) -> bool {
         self.peer.incarnation == peer.incarnation && self.peer.address == peer.address
     }
@@ -101,7 +101,7 @@
         self.stage.get() == Stage::Open
     }
 
-    /// Closes the link; calls without an answer end with an unknown outcome.
+    /// Closes the link; the outcome of unanswered calls is unknown.
     pub(crate) fn close(&self) {
         self.stage.set(Stage::Closed);
         *self.outgoing.borrow_mut() = None;
@@ -111,7 +111,7 @@
 
     /// Sends a call and waits for its answer; dropping the future cancels the call.
     ///
-    /// `entry` asks the other node to account for the request of a client.
+    /// `entry` asks the other node to account for a client's request.
     pub(crate) async fn call(&self, call: &Call, entry: bool) -> Answer {
         let (exchange, receiver) = self.open_exchange();
         let guard = CancelGuard {
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Opens an exchange whose answer comes through the receiver.
+    /// Opens an exchange, whose answer arrives at the receiver.
     fn open_exchange(&self) -> (u64, oneshot::Receiver<Answer>) {
         let exchange = self.next_exchange.get();
         self.next_exchange.set(exchange + 1);
@@ -140,7 +140,7 @@
         (exchange, receiver)
     }
 
-    /// Hands over a part of what is known about this life's tickets; returns true if it was taken.
+    /// Sends a part of a handover; returns true if it was accepted.
     pub(crate) async fn hand_over(&self, part: &Part) -> bool {
         let (exchange, receiver) = self.open_exchange();
         if !self.send(Body::Handover(part_to_wire(exchange, part))) {
@@ -150,7 +150,7 @@
         answer.is_ok_and(|answer| answer.outcome == Outcome::Done)
     }
 
-    /// Asks for the configuration if it is above `version`.
+    /// Requests the configuration if its version is above `version`.
     pub(crate) async fn fetch(&self, version: ConfigVersion) -> Option<Config> {
         let (sender, receiver) = oneshot::channel();
         self.pending_fetches.borrow_mut().push(sender);
@@ -189,7 +189,8 @@
         }
     }
 
-    /// Waits for the other side's hello, which shows that it can be reached, and tells it.
+    /// Waits for the hello of the other side, which shows that it is reachable, and reports the
+    /// link as open.
     async fn await_hello(
         &self,
         reader: &mut FrameReader,
@@ -201,7 +202,7 @@
         };
         self.stage.set(Stage::Open);
         emit(&catalogue::PEER_CONNECTED, &[("node", &self.peer.name)]);
-        // Nobody may be waiting any more.
+        // The waiters may have disconnected.
         let _ = opened.send(());
         Ok(())
     }
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Takes the head of an answer; one that nobody waits for is dropped.
+    /// Processes the head of an answer; one without a waiting caller is dropped.
     fn handle_answer(&self, head: sailtrack_wire::Answer) {
         let exchange = head.exchange;
         if !self.pending.borrow().contains_key(&exchange) {
@@ -255,7 +256,7 @@
 
     fn complete(&self, exchange: u64, answer: Answer) {
         if let Some(waiter) = self.pending.borrow_mut().remove(&exchange) {
-            // The caller may have left.
+            // The caller may have disconnected.
             let _ = waiter.send(answer);
         }
     }
@@ -280,7 +281,7 @@
     }
 }
 
-/// Cancels a call whose caller stops waiting before the answer has come.
+/// Cancels a call if its caller stops waiting before the answer arrives.
 struct CancelGuard<'a> {
     link: &'a Link,
     exchange: u64,
--- a/crates/node/src/peer/mod.rs
+++ b/crates/node/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to other nodes, over one connection to each.
+//! Connections to other nodes, one each, and the calls over them.
 
 mod accept;
 mod convert;
@@ -24,9 +24,9 @@
 use crate::metrics::Metrics;
 use crate::ticket::Part;
 
-/// How long fetching a configuration may take.
+/// Time limit for fetching a configuration.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// How much longer than the callee's deadline an answer is waited for.
+/// How long an answer is awaited beyond the call's deadline.
 const ANSWER_GRACE: Duration = Duration::from_millis(50);
 
 /// The connections to other nodes.
@@ -53,12 +53,12 @@
 
     /// Sends a call to another node and returns its answer.
     ///
-    /// Without an answer the outcome is unknown, unless nothing can have been sent.
+    /// If no answer arrives, the outcome is unknown, unless the call certainly was not sent.
     pub(crate) async fn call(&self, peer: &Rc<Peer>, call: &Call) -> Answer {
         self.send(peer, call, false).await
     }
 
-    /// Sends a client's request to the node that accounts for it and returns its answer.
+    /// Sends a client's request to the node that accounts for its retries and returns the answer.
     pub(crate) async fn call_entry(&self, peer: &Rc<Peer>, call: &Call) -> Answer {
         self.send(peer, call, true).await
     }
@@ -83,8 +83,7 @@
         timeout(FETCH_TIMEOUT, link.fetch(version)).await.ok()?
     }
 
-    /// Hands over a part of what is known about this life's tickets to a peer; returns true if it
-    /// took it.
+    /// Sends a part of a handover to a peer; returns true if it was accepted.
     pub(crate) async fn hand_over(&self, peer: &Rc<Peer>, part: &Part) -> bool {
         match self.link(peer).await {
             Some(link) => link.hand_over(part).await,
@@ -92,19 +91,19 @@
         }
     }
 
-    /// Opens a connection before it is needed.
+    /// Opens a connection in advance.
     pub(crate) async fn preconnect(&self, peer: &Rc<Peer>) {
         self.link(peer).await;
     }
 
-    /// Closes the connection to a node that is held for dead.
+    /// Closes the connection to a node considered dead.
     pub(crate) fn disconnect(&self, name: &NodeName) {
         if let Some(link) = self.links.borrow_mut().remove(name) {
             link.close();
         }
     }
 
-    /// Returns how many connections to other nodes are open.
+    /// Returns the number of open connections to other nodes.
     pub(crate) fn count(&self) -> usize {
         let links = self.links.borrow();
         links.values().filter(|link| link.is_open()).count()
--- a/crates/node/src/peer/reassembly.rs
+++ b/crates/node/src/peer/reassembly.rs
@@ -1,4 +1,4 @@
-//! Puts the chunks of a long answer together.
+//! Reassembles answers that arrive in chunks.
 
 use bytes::{Bytes, BytesMut};
 use sailtrack_wire as wire;
@@ -6,12 +6,12 @@
 use crate::call::Answer;
 use crate::peer::convert::answer_from_wire;
 
-/// The largest body of an answer; it equals the bound of the HTTP side.
+/// Limit on the body of an answer; equals the limit of the HTTP side.
 const MAX_BODY: usize = 8 * 1024 * 1024;
-/// The most bytes of a body that go into one frame.
+/// Limit on the bytes of a body in one frame.
 pub(crate) const CHUNK_SIZE: usize = 64 * 1024;
 
-/// An answer of which a part may still be missing.
+/// An answer whose body may be incomplete.
 pub(crate) struct Reassembly {
     head: wire::Answer,
     body: BytesMut,
@@ -19,7 +19,7 @@
 }
 
 impl Reassembly {
-    /// Starts with the head of an answer, or nothing if its body is too long.
+    /// Starts with the head of an answer; returns `None` if the body is too long.
     pub(crate) fn new(mut head: wire::Answer) -> Option<Self> {
         let length = usize::try_from(head.body_length).ok()?;
         if length > MAX_BODY || head.body.len() > length {
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Adds a chunk; returns false if the body becomes longer than was said.
+    /// Appends a chunk; returns false if the body exceeds the announced length.
     pub(crate) fn append(&mut self, chunk: &Bytes) -> bool {
         if self.body.len() + chunk.len() > self.length {
             return false;
@@ -42,12 +42,12 @@
         true
     }
 
-    /// Returns true once the whole body is there.
+    /// Returns true once the body is complete.
     pub(crate) fn is_complete(&self) -> bool {
         self.body.len() == self.length
     }
 
-    /// Returns the whole answer.
+    /// Returns the complete answer.
     pub(crate) fn finish(self) -> Answer {
         let mut answer = answer_from_wire(self.head);
         answer.body = self.body.freeze();
--- a/crates/node/src/platform/backoff.rs
+++ b/crates/node/src/platform/backoff.rs
@@ -1,11 +1,11 @@
-//! The pause before an operation on the platform that failed is tried again.
+//! Exponential backoff for operations on the platform.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// A pause that doubles with each failure, so that many nodes together do not hold the
-/// platform down when it comes back.
+/// A delay with jitter that doubles with each failure, so that many nodes retrying together do not
+/// overload a platform that is just recovering.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Backoff {
     first: Duration,
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Starts again with the first pause.
+    /// Resets the delay after a success.
     pub(crate) fn reset(&mut self) {
         self.next = self.first;
     }
 
-    /// Returns the pause after one more failure: from half of the present one to all of it.
+    /// Returns the delay after one more failure: between half of the current one and all of it.
     pub(crate) fn pause(&mut self, random: &mut impl Rng) -> Duration {
         let pause = self.next.mul_f64(random.random_range(0.5..1.0));
         self.next = (self.next * 2).min(self.max);
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -1,8 +1,7 @@
-//! The platform's table service, reached by HTTP.
+//! The client of the platform's table service, over HTTP.
 //!
-//! No ordinary call waits for it. It keeps the accepted configuration, a row
-//! for each node as first contact, claims of idempotency keys and unknown
-//! outcomes.
+//! No ordinary call depends on it. It stores the accepted configuration, a row for each node as
+//! first contact, claims of idempotency keys, unknown outcomes and their settlements.
 
 mod backoff;
 mod row;
@@ -23,14 +22,14 @@
 pub(crate) use backoff::Backoff;
 pub(crate) use row::{Row, Rows, Written};
 
-/// How long one operation may take.
+/// Time limit of one operation.
 const OPERATION_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most unused connections to the platform.
+/// Limit on idle connections to the platform.
 const POOL_CAPACITY: usize = 4;
-/// Carries the version that a row must have for a write to take effect.
+/// Header with the version that a row must have for a write to take effect.
 const IF_VERSION: &str = "if-version";
 
-/// Why an operation on the platform gave no result.
+/// Why an operation on the platform failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum PlatformError {
     /// the platform refused the operation, it had no effect
@@ -55,10 +54,10 @@
     }
 }
 
-/// What a row must be like for a write to take effect.
+/// Precondition for a write to take effect.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Precondition {
-    /// Nothing is expected.
+    /// No precondition.
     Any,
     /// The row must not exist.
     Absent,
@@ -66,7 +65,7 @@
     Version(u64),
 }
 
-/// The platform's table service.
+/// The client of the platform's table service.
 pub(crate) struct Platform {
     pool: Pool,
     is_unreachable: Cell<bool>,
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Returns the row if its version is above `version`.
+    /// Returns the row if its version is higher than `version`.
     pub(crate) async fn read_newer(
         &self,
         key: &str,
@@ -117,7 +116,7 @@
         self.scan_path(format!("/scan/{prefix}")).await
     }
 
-    /// Returns at most `limit` rows whose keys start with `prefix`, from the key `from` on.
+    /// Returns at most `limit` rows whose keys start with `prefix`, starting at the key `from`.
     pub(crate) async fn scan_page(
         &self,
         prefix: &str,
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Writes a row if it is as expected; says what stands there otherwise.
+    /// Writes a row if it meets the precondition; otherwise returns the current row.
     pub(crate) async fn write(
         &self,
         key: &str,
@@ -170,12 +169,12 @@
         }
     }
 
-    /// Returns true if the last operation got an answer.
+    /// Returns true unless the last operation failed.
     pub(crate) fn is_reachable(&self) -> bool {
         !self.is_unreachable.get()
     }
 
-    /// Returns how many operations were tried.
+    /// Returns the number of operations attempted.
     pub(crate) fn operations(&self) -> u64 {
         self.operations.get()
     }
--- a/crates/node/src/platform/row.rs
+++ b/crates/node/src/platform/row.rs
@@ -18,8 +18,8 @@
 /// The result of a write that was answered.
 #[derive(Debug, Clone)]
 pub(crate) enum Written {
-    /// It took effect; this stands in the table now.
+    /// The write took effect; this is the row now.
     Done(Row),
-    /// It had no effect; this stands in the table instead.
+    /// The write had no effect; this is the current row.
     Conflict(Row),
 }
--- a/crates/node/src/platform/tests.rs
+++ b/crates/node/src/platform/tests.rs
@@ -1,4 +1,5 @@
-//! Pauses on the way to a platform that is down.
+//! Backoff while the platform is down: delays double up to a limit, and many nodes together stay
+//! below a tolerable rate of attempts.
 
 use std::time::Duration;
 
