--- a/crates/node/src/operator/burn.rs
+++ b/crates/node/src/operator/burn.rs
@@ -1,4 +1,4 @@
-//! Tells what became of calls over time.
+//! Reports the outcomes of calls over time.
 
 use http::StatusCode;
 use sailtrack_net::http::Response;
@@ -9,7 +9,8 @@
 use crate::operator::{Operator, json};
 
 impl Operator {
-    /// Returns the counts of each declared kind over time, and the windows of the events.
+    /// Returns the outcome counts of each declared kind over time, and the windows of the declared
+    /// events.
     pub(crate) fn burn(&self) -> Response {
         let current = self.configuration.current();
         let steps = self.burn.steps();
--- a/crates/node/src/operator/change.rs
+++ b/crates/node/src/operator/change.rs
@@ -1,4 +1,4 @@
-//! Carries out commands that change the configuration.
+//! Executes commands that change the configuration.
 
 use std::time::{Duration, Instant};
 
@@ -14,15 +14,15 @@
 use crate::operator::reply::Refusal;
 use crate::operator::{Author, Operator, json};
 
-/// How long the members are asked whether they have a new version in force.
+/// How long the node waits for the members to activate a new version.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
-/// The pause between two rounds of asking.
+/// Interval between two rounds of version queries.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
-/// Names the version that a change is based on.
+/// Header with the version on which a change is based.
 const BASE: &str = "sailtrack-base";
 
 impl Operator {
-    /// Carries out a command that changes a part of the declaration.
+    /// Executes a command that changes a part of the declaration.
     pub(super) async fn change(
         &self,
         author: &Author,
@@ -50,7 +50,7 @@
         Ok(self.submit(&author, base, summary, declaration).await)
     }
 
-    /// Returns what became of a command that was given before.
+    /// Returns the outcome of a command issued earlier.
     pub(crate) async fn show_command(&self, id: &str) -> Response {
         let operator = "unknown".parse();
         let base = self.configuration.version();
@@ -113,7 +113,8 @@
         )
     }
 
-    /// Asks the members until all have the version in force, and returns who has it.
+    /// Queries the members until all have activated the version or the timeout has passed, and
+    /// reports which are missing.
     async fn await_activation(&self, version: ConfigVersion) -> Value {
         let started = Instant::now();
         self.gossip.spread().await;
@@ -143,7 +144,7 @@
     }
 }
 
-/// Returns what an operator is told about a change.
+/// Returns the report about a change for the operator.
 fn body(command: &str, acceptance: &Acceptance, in_force: Option<&Value>) -> Value {
     match acceptance {
         Acceptance::Accepted(version) => json!({
--- a/crates/node/src/operator/mod.rs
+++ b/crates/node/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Answers operators: queries about what is, and changes of what shall hold.
+//! Handles queries and commands of operators.
 
 mod burn;
 mod change;
@@ -36,7 +36,7 @@
 use sailtrack_settings::Identity;
 pub(crate) use settle::{settled_key, verdict_of};
 
-/// Answers operators.
+/// Handles queries and commands of operators.
 pub(crate) struct Operator {
     pub(crate) identity: Identity,
     pub(crate) phase: Rc<Cell<Phase>>,
@@ -60,7 +60,7 @@
     const NAME: &'static str = "operator";
 }
 
-/// Who gives a command, and under which id.
+/// The operator who issues a command, and the command's id.
 #[derive(Debug, Clone)]
 struct Author {
     operator: OperatorName,
@@ -68,7 +68,7 @@
 }
 
 impl Operator {
-    /// Answers one command or query.
+    /// Handles one command or query.
     pub(crate) async fn command(&self, request: &Request) -> Response {
         match self.try_command(request).await {
             Ok(response) => response,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Puts a whole declaration into force.
+    /// Proposes a complete declaration.
     pub(crate) async fn apply(&self, request: &Request) -> Response {
         match self.try_apply(request).await {
             Ok(response) => response,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns one line on whether the node serves.
+    /// Returns one line on the health of the node.
     pub(crate) fn health(&self) -> String {
         format!(
             "{} phase={} upstream={} config={} platform={}\n",
@@ -123,7 +123,7 @@
         )
     }
 
-    /// Returns everything that is counted, in the text format for scraping.
+    /// Returns all metrics in the text format for scraping.
     pub(crate) fn scrape(&self) -> String {
         let now = Instant::now();
         let all = self.membership.all();
@@ -154,7 +154,7 @@
     }
 }
 
-/// Returns who gives a command; the name and the id are both needed.
+/// Returns the author of a command; both the operator's name and the command's id are required.
 fn author(request: &Request) -> Result<Author, Refusal> {
     let operator = request.header(header::OPERATOR).map(str::parse);
     let Some(Ok(operator)) = operator else {
--- a/crates/node/src/operator/query.rs
+++ b/crates/node/src/operator/query.rs
@@ -15,7 +15,7 @@
 use crate::operator::{Operator, json};
 use crate::unknown::Unknown;
 
-/// Where unknown outcomes stand in the platform's table.
+/// Key prefix of unknown outcomes in the platform's table.
 const UNKNOWN_PREFIX: &str = "unknown/";
 
 /// Returns the key of the row of an unknown outcome.
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns how many rows of a subject have each value of a field.
+    /// Returns the number of rows of a subject for each value of a field.
     pub(crate) async fn count(
         &self,
         subject: Subject,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the declaration in force.
+    /// Returns the active declaration.
     pub(crate) fn show_config(&self) -> Response {
         let current = self.configuration.current();
         let body = json!({
@@ -153,7 +153,7 @@
         (others.count() + is_own, serving)
     }
 
-    /// Returns the declared limit, with the one found if this node is of the service.
+    /// Returns the declared limit, with the current one of this node if it serves the service.
     fn limit_text(&self, service: &ServiceName, limit: Limit) -> String {
         if *service == self.identity.service {
             return format!("{limit} ({} here)", self.admission.limit(Instant::now()));
@@ -161,7 +161,7 @@
         limit.to_string()
     }
 
-    /// Returns the highest rank that a kind needs at present to be admitted by a service.
+    /// Returns the highest rank that any kind currently needs to be admitted by a service.
     fn highest_level(&self, service: &ServiceName) -> u8 {
         let current = self.configuration.current();
         let kinds = current.declaration.kinds.iter();
--- a/crates/node/src/operator/reply.rs
+++ b/crates/node/src/operator/reply.rs
@@ -1,4 +1,4 @@
-//! Refusals of commands, and tables as answers.
+//! Error responses, and tables as answers to queries.
 
 use displaydoc::Display;
 use http::StatusCode;
@@ -28,9 +28,9 @@
     Base,
     /// there is no {what} called {name}
     Missing {
-        /// What was looked for.
+        /// The sort of item looked up.
         what: &'static str,
-        /// Under which name.
+        /// Its name.
         name: String,
     },
     /// {0} is alive and knows the outcome: ask again with the ticket
@@ -42,7 +42,7 @@
 impl std::error::Error for Refusal {}
 
 impl Refusal {
-    /// Returns the response that says why.
+    /// Returns the error response.
     pub(crate) fn response(&self) -> Response {
         let column = match self {
             Self::Syntax(error) => Some(error.column),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Rows under named columns, with remarks about what may be missing.
+/// Rows under named columns, with notes about possibly missing data.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     pub(crate) columns: Vec<String>,
--- a/crates/node/src/operator/settle.rs
+++ b/crates/node/src/operator/settle.rs
@@ -1,4 +1,4 @@
-//! Settles requests whose outcome is not known.
+//! Settles requests whose outcome is unknown.
 
 use http::StatusCode;
 use sailtrack_language::Verdict;
@@ -13,7 +13,7 @@
 use crate::operator::{Author, Operator, json};
 use crate::platform::{PlatformError, Precondition, Written};
 
-/// Where settled outcomes stand in the platform's table.
+/// Key prefix of settled outcomes in the platform's table.
 const SETTLED_PREFIX: &str = "settled/";
 
 /// Returns the key of the row that settles a ticket.
@@ -28,7 +28,7 @@
 }
 
 impl Operator {
-    /// Records what an operator found out about a request; the first verdict holds.
+    /// Records an operator's verdict on a request; the first verdict is final.
     pub(super) async fn settle(
         &self,
         author: &Author,
@@ -79,13 +79,14 @@
                 ("operator", &author.operator),
             ],
         );
-        // A row that stays is shown again and can be settled again with the same verdict.
+        // A row that could not be removed is listed again and can be settled again with the same
+        // verdict.
         let _ = self.platform.remove(&unknown_key(&text)).await;
         let body = json!({"result": "settled", "verdict": verdict.to_string()});
         json(StatusCode::OK, &body)
     }
 
-    /// Returns true if the node that knows the outcome is still there.
+    /// Returns true if the home node, which knows the outcome, is alive.
     fn is_home_alive(&self, ticket: &Ticket) -> bool {
         if self.tickets.is_home(ticket) {
             return true;
--- a/crates/node/src/port/client.rs
+++ b/crates/node/src/port/client.rs
@@ -25,12 +25,12 @@
 use crate::ticket::Tickets;
 use sailtrack_admission::Policy;
 
-/// Where clients get tickets.
+/// The path at which clients get tickets.
 const TICKETS: &str = "/.sailtrack/tickets";
-/// How often a claim without an answer is tried again.
+/// Number of attempts to write a claim that gets no answer.
 const CLAIM_ATTEMPTS: u32 = 3;
 
-/// Answers clients.
+/// Handles the requests of clients.
 pub(crate) struct ClientPort {
     pub(crate) policy: Policy,
     pub(crate) phase: Rc<Cell<Phase>>,
@@ -76,7 +76,7 @@
             Ok(ticket) => ticket,
             Err(response) => return *response,
         };
-        // Only its home can say of a ticketed request that it did not run.
+        // Only the home node can tell that a request with a ticket did not run.
         if let (None, Some(reason)) = (&ticket, self.unavailable_reason()) {
             return self.refuse(reason);
         }
@@ -108,7 +108,7 @@
         reply::response(&answer).with(header::REQUEST, &id.to_string())
     }
 
-    /// Returns what an operator settled about a request that nobody else knows about.
+    /// Returns what an operator settled, for a request whose outcome no node knows any more.
     async fn apply_settlement(&self, ticket: &Ticket, answer: Answer) -> Answer {
         if !matches!(answer.reason, Reason::HomeGone | Reason::TicketExpired) {
             return answer;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns why the node takes no requests at present.
+    /// Returns why the node accepts no requests at present, if so.
     fn unavailable_reason(&self) -> Option<Reason> {
         match self.phase.get() {
             Phase::Joining => Some(Reason::NotConfigured),
@@ -147,7 +147,8 @@
         )
     }
 
-    /// Returns the ticket of a non-idempotent request, or the refusal of one without.
+    /// Returns the ticket of a non-idempotent request, or a refusal if it has neither a ticket nor
+    /// an idempotency key.
     async fn ticket_of(
         &self,
         request: &Request,
@@ -177,10 +178,10 @@
         )))
     }
 
-    /// Returns the one ticket that stands for a client's key, from the platform's table.
+    /// Returns the ticket that belongs to a client's idempotency key, from the platform's table.
     ///
-    /// Whoever writes the row first decides the ticket; a write whose answer is
-    /// lost is tried again and then meets its own row.
+    /// Whoever writes the row first determines the ticket; a write whose answer is lost is retried
+    /// and then finds its own row.
     async fn claim(&self, key: &str, kind: &Kind) -> Result<Ticket, Box<Response>> {
         let row = format!("claims/{}/{}", kind.name, RequestId::from_key(key));
         let Some(ticket) = self.mint(kind) else {
@@ -203,7 +204,8 @@
         Err(Box::new(self.unresolved()))
     }
 
-    /// Returns the answer for a key of which an earlier copy may have run.
+    /// Returns the answer if the ticket of a key cannot be determined: an earlier copy of the
+    /// request may have run.
     fn unresolved(&self) -> Response {
         let answer = Answer::unknown(Reason::Platform);
         reply::response(&self.dispatcher.executor.retry_later(answer))
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Makes a ticket for a node that serves the kind at present.
+    /// Mints a ticket for a node that serves the kind at present.
     fn mint(&self, kind: &Kind) -> Option<Ticket> {
         match self.routing.choose_home(&kind.service) {
             Some(Target::Local) => Some(self.tickets.mint_here()),
--- a/crates/node/src/port/incoming.rs
+++ b/crates/node/src/port/incoming.rs
@@ -1,4 +1,4 @@
-//! What an HTTP request says about the call that it stands for.
+//! Converts HTTP requests to calls.
 
 use std::time::{Duration, Instant};
 
@@ -12,12 +12,12 @@
 use crate::context::Context;
 use crate::header;
 
-/// How long a call of an undeclared kind may take.
+/// Timeout of calls of undeclared kinds.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The name under which calls of undeclared kinds are counted.
+/// The kind name under which undeclared calls are counted.
 const UNDECLARED: &str = "undeclared";
 
-/// What is declared about a call, or assumed if nothing is.
+/// The declared properties of a call's kind, or defaults.
 #[derive(Debug, Clone)]
 pub(crate) struct Profile {
     pub(crate) name: KindName,
@@ -40,9 +40,9 @@
 }
 
 impl Profile {
-    /// Returns what is assumed about a call of an undeclared kind: one attempt, shed first.
+    /// Returns the defaults for an undeclared kind: one attempt, shed first.
     ///
-    /// The name is a constant, so that nobody outside can make metrics grow.
+    /// The name is a constant, so that clients cannot create an unbounded number of metrics.
     pub(crate) fn undeclared() -> Option<Self> {
         Some(Self {
             name: UNDECLARED.parse().ok()?,
@@ -54,7 +54,8 @@
     }
 }
 
-/// Returns the deadline that a request asks for, or the one declared for its kind.
+/// Returns the deadline of a request: the requested timeout, limited by the one declared for its
+/// kind.
 fn deadline(request: &Request, declared: Duration) -> Instant {
     let requested = request
         .header(header::TIMEOUT)
@@ -72,14 +73,14 @@
         .to_owned()
 }
 
-/// Builds the call that an HTTP request stands for.
+/// Builds the call for an HTTP request.
 pub(crate) struct Builder {
     call: Call,
     importance: Importance,
 }
 
 impl Builder {
-    /// Starts with a call to a service that begins a root request of its own.
+    /// Starts with a call that is a root request of its own.
     pub(crate) fn new(profile: Profile, service: ServiceName, request: Request) -> Self {
         let id = RequestId::draw(&mut rand::rng());
         let call = Call {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Sets the id of the root request, and with it the place in the order of shedding.
+    /// Sets the id of the root request, which also determines its shedding rank.
     pub(crate) fn request(mut self, id: RequestId) -> Self {
         self.call.request = id;
         self.call.rank = Rank::new(self.importance, id);
@@ -117,7 +118,8 @@
         self
     }
 
-    /// Makes it a call for an execution, which gives it its root request and its last deadline.
+    /// Makes the call part of an execution: it takes over the root request and is limited by its
+    /// deadline.
     pub(crate) fn for_execution(mut self, context: &Context) -> Self {
         self.call.request = context.request;
         self.call.root_kind = context.root_kind.clone();
--- a/crates/node/src/port/local.rs
+++ b/crates/node/src/port/local.rs
@@ -1,4 +1,4 @@
-//! The port for the own upstream: its announcements and the calls that it makes.
+//! The port for the upstream of this node: its announcements and the calls that it makes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -28,10 +28,10 @@
 use sailtrack_admission::Policy;
 use sailtrack_settings::Identity;
 
-/// Where the upstream announces itself.
+/// The path at which the upstream announces itself.
 const ANNOUNCE: &str = "/.sailtrack/announce";
 
-/// Answers the own upstream.
+/// Handles the requests of the upstream of this node.
 pub(crate) struct LocalPort {
     pub(crate) policy: Policy,
     pub(crate) identity: Identity,
@@ -91,7 +91,8 @@
         let token = request.header(header::CONTEXT);
         let context = token.map(|token| self.contexts.find(token));
         match context {
-            // The caller of this execution has left, so more work for it is wasted.
+            // The caller of this execution has disconnected, so further work for it would be
+            // wasted.
             Some(None) => reply::response(&Answer::not_run(Reason::Cancelled)),
             Some(Some(context)) => {
                 let answer = self.call_within(&context, service, request).await;
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Makes a call for an execution of the own upstream.
+    /// Dispatches a call that belongs to an execution in the own upstream.
     async fn call_within(
         &self,
         context: &Rc<Context>,
@@ -126,7 +127,7 @@
         answer
     }
 
-    /// Makes a call unless it is a retry for which nothing is left.
+    /// Dispatches a call, unless it is a retry and the retry budget is spent.
     async fn call_within_budget(
         &self,
         context: &Rc<Context>,
@@ -143,10 +144,10 @@
         answer
     }
 
-    /// Makes a non-idempotent call, or gives the answer of the same call made before.
+    /// Dispatches a non-idempotent call, or returns the answer of the same call made before.
     ///
-    /// It goes on in a task of its own when the upstream stops waiting. Only a
-    /// call that certainly did not run is made again.
+    /// The call continues in its own task if the upstream stops waiting. It is only repeated if it
+    /// certainly did not run.
     async fn call_at_most_once(
         &self,
         context: &Rc<Context>,
@@ -189,7 +190,7 @@
         answer.boxed_local().shared()
     }
 
-    /// Makes a call that belongs to no request, such as one of a timer in the upstream.
+    /// Dispatches a call that belongs to no execution, such as one made by a timer in the upstream.
     async fn call_without_context(&self, service: ServiceName, request: Request) -> Response {
         let Some(profile) = self.profile(&service, &request) else {
             return reply::response(&Answer::not_run(Reason::Undeclared));
@@ -208,9 +209,9 @@
     }
 }
 
-/// Returns what makes a call the same as another one made for the same execution.
+/// Returns the key by which calls of the same execution are considered the same.
 ///
-/// A key chosen by the upstream decides; without one it is the whole content.
+/// It contains the idempotency key if the upstream sent one, otherwise the body.
 fn subcall_key(service: &ServiceName, request: &Request) -> SubcallKey {
     let mut hash = Xxh3::new();
     hash.update(service.as_str().as_bytes());
--- a/crates/node/src/port/operator.rs
+++ b/crates/node/src/port/operator.rs
@@ -7,7 +7,7 @@
 
 use crate::operator::Operator;
 
-/// Answers operators.
+/// Handles the requests of operators.
 pub(crate) struct OperatorPort {
     pub(crate) operator: Rc<Operator>,
 }
--- a/crates/node/src/port/reply.rs
+++ b/crates/node/src/port/reply.rs
@@ -1,4 +1,4 @@
-//! Answers as HTTP responses.
+//! Converts answers to HTTP responses.
 
 use http::StatusCode;
 use sailtrack_net::http::Response;
@@ -7,7 +7,7 @@
 use crate::call::{Answer, outcome_word, reason_word};
 use crate::header;
 
-/// Returns the response that tells an answer to a client or to the own upstream.
+/// Returns the response for a client or the own upstream.
 pub(crate) fn response(answer: &Answer) -> Response {
     let mut response = match answer.outcome {
         Outcome::Done => done(answer),
@@ -42,7 +42,7 @@
     Response::text(status, format!("{outcome}: {reason}\n"))
 }
 
-/// Returns a response that says that nothing ran, and why in words.
+/// Returns a response that reports that nothing was executed, and why.
 pub(crate) fn not_run(status: StatusCode, text: &str) -> Response {
     Response::text(status, format!("not-run: {text}\n")).with(header::OUTCOME, "not-run")
 }
