--- a/crates/node/src/accountant.rs
+++ b/crates/node/src/accountant.rs
@@ -1,7 +1,7 @@
 //! Accounts for the retries that a client makes with the same request id.
 //!
-//! Every request id has one node that accounts for it, found by hashing, so
-//! the bound holds whichever nodes the client sends its retries to.
+//! Each request id is assigned to one node by rendezvous hashing, so the limit holds whichever
+//! nodes the client sends its retries to.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -19,12 +19,12 @@
 use crate::retry::Budget;
 use crate::routing::{Routing, Target};
 
-/// How long a request id is remembered.
+/// How long a request id is kept.
 const RETENTION: Duration = Duration::from_mins(1);
-/// The most request ids remembered at once.
+/// Limit on the request ids kept.
 const MAX_RECORDS: usize = 50_000;
 
-/// What is remembered about a request id.
+/// The record of a request id.
 #[derive(Clone)]
 struct Record {
     budget: Budget,
@@ -32,7 +32,7 @@
     may_have_run: Rc<Cell<bool>>,
 }
 
-/// Where requests of clients come in.
+/// Accounts for client requests and dispatches them.
 pub(crate) struct Accountant {
     dispatcher: Rc<Dispatcher>,
     routing: Rc<Routing>,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Brings a client's request, whose id it chose itself, to its answer.
+    /// Handles a client's request with an id chosen by the client, on the node that accounts for
+    /// the id if that is reachable.
     pub(crate) async fn submit(&self, call: Call) -> Answer {
         let accounting_node = self.routing.accounting_node(&call.service, call.request);
         let Some(Target::Remote(peer)) = accounting_node else {
@@ -70,7 +71,7 @@
         answer
     }
 
-    /// Accounts for one attempt and brings it to its answer.
+    /// Accounts for one attempt and dispatches it.
     pub(crate) async fn account(&self, call: Call) -> Answer {
         let _held = Held::new(&self.dispatcher.executor.in_flight);
         let record = self.record_for(&call);
@@ -116,15 +117,15 @@
         }
     }
 
-    /// Returns how many request ids are remembered.
+    /// Returns the number of request ids kept.
     pub(crate) fn len(&self) -> usize {
         self.records.borrow().len()
     }
 }
 
-/// Returns what is true of the whole request after one of its attempts was refused.
+/// Returns the answer to report after an attempt was refused.
 ///
-/// Nobody may hear "not run" about a request of which an earlier attempt may have run.
+/// "Not run" must not be reported for a request of which an earlier attempt may have run.
 fn after_refusal(answer: Answer, had_run: bool) -> Answer {
     if !had_run {
         return answer;
--- a/crates/node/src/burn.rs
+++ b/crates/node/src/burn.rs
@@ -1,4 +1,4 @@
-//! What became of calls over time, for reports on service-level burn.
+//! Outcomes of calls over time, for reports on error-budget burn rates.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,12 +11,12 @@
 
 use crate::call::{Answer, reason_word};
 
-/// The length of one step.
+/// Duration of one step.
 pub(crate) const STEP: Duration = Duration::from_secs(5);
-/// How many steps are remembered: 90 minutes.
+/// Number of steps kept: 90 minutes.
 const STEPS: usize = 1080;
 
-/// The counts of one kind in one step.
+/// The outcome counts of one kind in one step.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct Step {
     at: Timestamp,
@@ -26,7 +26,7 @@
     refused: BTreeMap<&'static str, u64>,
 }
 
-/// The counts of each kind over time.
+/// The outcome counts of each kind over time.
 #[derive(Default)]
 pub(crate) struct Burn {
     kinds: RefCell<BTreeMap<KindName, VecDeque<Step>>>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the steps of each kind, the oldest first.
+    /// Returns the steps of each kind, oldest first.
     pub(crate) fn steps(&self) -> BTreeMap<KindName, Vec<Step>> {
         let kinds = self.kinds.borrow();
         let steps = kinds.iter().map(|(kind, steps)| {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns the step of the present time, opened if it is new.
+/// Returns the current step, and starts a new one if necessary.
 fn current_step(steps: &mut VecDeque<Step>) -> &mut Step {
     let millis = Period::as_millis(Period(STEP));
     let at = Timestamp(Timestamp::now().0 / millis * millis);
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -1,4 +1,4 @@
-//! A call and its answer as the node handles them.
+//! Calls and their answers.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 
 use sailtrack_admission::Pressure;
 
-/// One call to a service, from a client or made for one.
+/// One call to a service, made by a client or for a client's request.
 #[derive(Debug, Clone)]
 pub(crate) struct Call {
     /// The root request.
@@ -19,20 +19,20 @@
     pub(crate) root_kind: KindName,
     /// The kind of this call.
     pub(crate) kind: KindName,
-    /// Whether this call may run again.
+    /// Whether this call may be retried.
     pub(crate) repeat: Repeat,
-    /// The service that runs it.
+    /// The service that executes it.
     pub(crate) service: ServiceName,
     pub(crate) method: Method,
     pub(crate) path: String,
-    /// Its place in the order of shedding, given by the root request.
+    /// Its shedding rank, given by the root request.
     pub(crate) rank: Rank,
-    /// The retries that the callee may cause in turn.
+    /// The number of retries that the callee may cause in turn.
     pub(crate) allowance: Allowance,
     pub(crate) deadline: Instant,
-    /// Names the only node that may run it, if it must not run twice.
+    /// Names the only node that may execute the call, if it must not run twice.
     pub(crate) ticket: Option<Ticket>,
-    /// How many services the request crossed before this one.
+    /// Number of services that the request passed through before this one.
     pub(crate) depth: u32,
     pub(crate) content_type: String,
     pub(crate) body: Bytes,
@@ -48,21 +48,21 @@
 /// The final answer to a call.
 #[derive(Debug, Clone)]
 pub(crate) struct Answer {
-    /// What is known about the execution.
+    /// Whether the call was executed, as far as is known.
     pub(crate) outcome: Outcome,
-    /// Why it did not run or the outcome is not known.
+    /// Why it did not run or its outcome is unknown.
     pub(crate) reason: Reason,
-    /// The upstream's status if the outcome is done.
+    /// The status of the upstream's response if the outcome is done.
     pub(crate) status: u16,
-    /// The part of the call's allowance that was used up.
+    /// The part of the call's allowance that was spent.
     pub(crate) used: Allowance,
-    /// The rank that the callee and the services behind it admit at present.
+    /// The rank currently needed at the callee and the services downstream of it.
     pub(crate) level: Rank,
-    /// How full the callee is for calls of this importance.
+    /// The pressure at the callee for calls of this importance.
     pub(crate) pressure: Pressure,
-    /// The greatest pressure that the call met, at the callee or further down.
+    /// The highest pressure that the call met, at the callee or downstream of it.
     pub(crate) path_pressure: Pressure,
-    /// When to come back; zero if nothing is said.
+    /// The time after which to retry; zero if not specified.
     pub(crate) retry_after: Duration,
     pub(crate) content_type: String,
     pub(crate) body: Bytes,
@@ -74,7 +74,7 @@
         Self::without_body(Outcome::NotRun, reason)
     }
 
-    /// Returns the answer for a call that may or may not have run.
+    /// Returns the answer to a call that may or may not have run.
     pub(crate) fn unknown(reason: Reason) -> Self {
         Self::without_body(Outcome::Unknown, reason)
     }
@@ -104,19 +104,20 @@
         }
     }
 
-    /// Returns the answer with the time to come back.
+    /// Sets the time after which the caller may retry.
     pub(crate) fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = after;
         self
     }
 
-    /// Returns the answer with the admission level of the callee.
+    /// Raises the admission level of the answer to at least this one.
     pub(crate) fn at_level(mut self, level: Rank) -> Self {
         self.level = self.level.max(level);
         self
     }
 
-    /// Returns the pressure that the call met; one that was refused for overload met too much.
+    /// Returns the pressure that the call met, at least `OVERLOADED` if it was refused for
+    /// overload.
     pub(crate) fn observed_pressure(&self) -> Pressure {
         if is_overload(self.reason) {
             self.path_pressure.max(Pressure::OVERLOADED)
@@ -125,13 +126,13 @@
         }
     }
 
-    /// Returns true if the upstream ran the call and did not fail.
+    /// Returns true if the upstream executed the call and did not fail.
     pub(crate) fn is_success(&self) -> bool {
         self.outcome == Outcome::Done && self.status < 500
     }
 }
 
-/// Returns true for the reasons that stand for too much work.
+/// Returns true for the reasons that indicate overload.
 pub(crate) fn is_overload(reason: Reason) -> bool {
     matches!(
         reason,
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
-/// Returns the declaration of the command line.
+/// Returns the definition of the command line.
 pub(crate) fn command() -> Command {
     Command::new("sailtrack-node")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/node/src/context.rs
+++ b/crates/node/src/context.rs
@@ -1,7 +1,7 @@
-//! What the node remembers about each call that runs in its upstream.
+//! The context of each call that executes in the node's upstream.
 //!
-//! The upstream copies one opaque token into the calls that it makes; all else
-//! stays here, so an upstream cannot multiply what belongs to the request.
+//! The upstream copies one opaque token into the calls that it makes. Everything else is kept here,
+//! so an upstream cannot multiply the allowance of a request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SubcallKey(pub(crate) u128);
 
-/// The answer of a call that may be waited for by several.
+/// The answer of a call, which several callers may await.
 pub(crate) type SharedAnswer = Shared<LocalBoxFuture<'static, Answer>>;
 
 /// One execution in the own upstream.
@@ -32,19 +32,19 @@
     pub(crate) depth: u32,
     pub(crate) deadline: Instant,
     pub(crate) budget: Budget,
-    /// The highest admission level that a call made for it met.
+    /// The highest admission level that its nested calls met.
     pub(crate) level: Cell<Rank>,
-    /// The greatest pressure that a call made for it met.
+    /// The highest pressure that its nested calls met.
     pub(crate) pressure: Cell<Pressure>,
     outside: RefCell<SubcallTime>,
     call_count: Cell<u32>,
-    /// The calls made that failed; the same call made again is a retry.
+    /// The nested calls that failed; making one of them again is a retry.
     failed: RefCell<HashSet<SubcallKey>>,
-    /// The non-idempotent calls made, whose answers are kept.
+    /// The answers of the non-idempotent nested calls.
     pub(crate) once: RefCell<HashMap<SubcallKey, SharedAnswer>>,
 }
 
-/// The time during which at least one call made for the execution was open.
+/// The time during which at least one nested call was open.
 #[derive(Debug, Default)]
 struct SubcallTime {
     open: u32,
@@ -53,7 +53,8 @@
 }
 
 impl Context {
-    /// Notes that a call is made; the time until the guard is dropped is not the upstream's own.
+    /// Marks a nested call as open until the guard is dropped; this time is not counted as the
+    /// upstream's own.
     pub(crate) fn begin_subcall(self: &Rc<Self>) -> SubcallGuard {
         let mut outside = self.outside.borrow_mut();
         if outside.open == 0 {
@@ -63,7 +64,7 @@
         SubcallGuard(Rc::clone(self))
     }
 
-    /// Returns the time spent in calls made for the execution.
+    /// Returns the time spent in nested calls.
     pub(crate) fn subcall_time(&self) -> Duration {
         let outside = self.outside.borrow();
         let running = outside
@@ -72,31 +73,31 @@
         outside.total + running
     }
 
-    /// Returns true if the upstream has made no calls for the execution.
+    /// Returns true if the upstream has made no nested calls for the execution.
     pub(crate) fn made_no_calls(&self) -> bool {
         self.call_count.get() == 0
     }
 
-    /// Notes what the answer to a call says about the services further down.
+    /// Records the admission level and pressure in the answer to a nested call.
     pub(crate) fn record_answer(&self, answer: &Answer) {
         self.level.set(self.level.get().max(answer.level));
         let pressure = self.pressure.get().max(answer.observed_pressure());
         self.pressure.set(pressure);
     }
 
-    /// Notes that a call is made; returns false if it is a retry and none is left.
+    /// Counts a nested call; returns false if it is a retry and the budget is spent.
     pub(crate) fn register_call(&self, key: &SubcallKey) -> bool {
         self.call_count.set(self.call_count.get() + 1);
         !self.failed.borrow().contains(key) || self.budget.spend()
     }
 
-    /// Notes that a call failed.
+    /// Records that a nested call failed.
     pub(crate) fn record_failed_call(&self, key: SubcallKey) {
         self.failed.borrow_mut().insert(key);
     }
 }
 
-/// Marks an open call made for an execution.
+/// Guard of an open nested call.
 pub(crate) struct SubcallGuard(Rc<Context>);
 
 impl Drop for SubcallGuard {
@@ -112,7 +113,7 @@
     }
 }
 
-/// Every execution in the own upstream, by its token.
+/// The contexts of all executions in the own upstream, by token.
 #[derive(Default)]
 pub(crate) struct Contexts {
     open: RefCell<HashMap<u64, Rc<Context>>>,
@@ -123,7 +124,7 @@
 }
 
 impl Contexts {
-    /// Remembers an execution until the guard is dropped.
+    /// Registers an execution until the guard is dropped.
     pub(crate) fn open(self: &Rc<Self>, call: &Call) -> Registration {
         let context = Rc::new(Context {
             request: call.request,
@@ -148,14 +149,14 @@
         }
     }
 
-    /// Returns the execution that a token stands for.
+    /// Returns the execution with this token.
     pub(crate) fn find(&self, token: &str) -> Option<Rc<Context>> {
         let token = u64::from_str_radix(token, 16).ok()?;
         self.open.borrow().get(&token).cloned()
     }
 }
 
-/// An open execution, forgotten when it is dropped.
+/// Guard of a registered execution, which removes it when dropped.
 pub(crate) struct Registration {
     contexts: Rc<Contexts>,
     token: u64,
@@ -163,7 +164,7 @@
 }
 
 impl Registration {
-    /// Returns the token as it stands in the header.
+    /// Returns the token as written into the header.
     pub(crate) fn token(&self) -> String {
         format!("{:016x}", self.token)
     }
--- a/crates/node/src/header.rs
+++ b/crates/node/src/header.rs
@@ -1,4 +1,4 @@
-//! The headers that sailtrack reads and writes.
+//! HTTP headers read and written by sailtrack.
 
 /// The id of a request, chosen by the client or by the node.
 pub(crate) const REQUEST: &str = "sailtrack-request";
@@ -8,19 +8,19 @@
 pub(crate) const TIMEOUT: &str = "sailtrack-timeout-ms";
 /// The ticket of a non-idempotent request.
 pub(crate) const TICKET: &str = "sailtrack-ticket";
-/// The opaque context that an upstream copies into the calls that it makes.
+/// The opaque context token that an upstream copies into the calls that it makes.
 pub(crate) const CONTEXT: &str = "sailtrack-context";
 /// The service that an upstream calls.
 pub(crate) const SERVICE: &str = "sailtrack-service";
-/// What is known about the execution: done, not-run or unknown.
+/// The outcome of the execution: done, not-run or unknown.
 pub(crate) const OUTCOME: &str = "sailtrack-outcome";
-/// Why a request was not run or its outcome is not known.
+/// Why a request did not run or its outcome is unknown.
 pub(crate) const REASON: &str = "sailtrack-reason";
-/// When to come back, in milliseconds.
+/// The time after which to retry, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: &str = "sailtrack-retry-after-ms";
-/// When to come back, in whole seconds.
+/// The time after which to retry, in whole seconds.
 pub(crate) const RETRY_AFTER: &str = "retry-after";
-/// A key that the client chose for a non-idempotent request.
+/// The idempotency key that the client chose for a non-idempotent request.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The name of an operator.
 pub(crate) const OPERATOR: &str = "sailtrack-operator";
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
-//! The node of sailtrack.
+//! The node process of sailtrack.
 //!
-//! A node stands beside one upstream. It takes calls in from clients and from
-//! other nodes, and out from its own upstream, and decides for each whether,
-//! where and how often it runs. Its parts are services that find each other by
-//! name in the table of the micro-kernel; [`run`] is the only public item.
+//! A node runs beside one upstream. It receives calls for this upstream from clients and other
+//! nodes, and calls made by the upstream, and decides whether, where and how often each of them is
+//! executed. Its parts are services that find each other by name in the table of the micro-kernel;
+//! [`run`] is the only public function.
 
 mod accountant;
 mod burn;
@@ -31,7 +31,7 @@
 
 pub use sailtrack_kernel::Error;
 
-/// Reads the command line and settings and runs the node until it is stopped.
+/// Reads the command line and the settings and runs the node until it is stopped.
 pub fn run() -> Result<(), Error> {
     let matches = cli::command().get_matches();
     let options = options::Options::from_matches(&matches)?;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the node counts, for scraping and for reports.
+//! The metrics of the node, for scraping and for reports.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,15 +18,15 @@
 
 use crate::call::{Answer, Call, outcome_word, reason_word};
 
-/// The first and smallest bucket of added time, in seconds.
+/// Upper bound of the first bucket of added time, in seconds.
 const FIRST_BUCKET: f64 = 0.000_02;
-/// Each bucket is larger than the one before by this factor.
+/// Growth factor of the buckets.
 const BUCKET_FACTOR: f64 = 1.5;
-/// The number of buckets; the last one is near 50 ms.
+/// Number of buckets; the last bound is near 50 ms.
 const BUCKETS: u16 = 20;
-/// The first and smallest bucket of the time in the upstream, in seconds.
+/// Upper bound of the first bucket of the time in the upstream, in seconds.
 const FIRST_UPSTREAM_BUCKET: f64 = 0.001;
-/// The number of its buckets, each twice the one before; the last one is near 8 s.
+/// Number of its buckets, each twice the one before; the last bound is near 8 s.
 const UPSTREAM_BUCKETS: u16 = 14;
 
 /// The labels of a call.
@@ -37,7 +37,7 @@
     importance: &'static str,
 }
 
-/// The labels of a time that is kept for each kind.
+/// The labels of a duration recorded by kind.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct KindLabels {
     kind: String,
@@ -51,7 +51,7 @@
     importance: &'static str,
 }
 
-/// Values that are read at the time of a scrape.
+/// Gauge values, read at the time of a scrape.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Snapshot {
     pub(crate) limit: usize,
@@ -73,7 +73,7 @@
     pub(crate) reported_load: f64,
 }
 
-/// What became of the calls of one kind.
+/// The outcomes of the calls of one kind and importance.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Tally {
     pub(crate) done: u64,
@@ -104,7 +104,7 @@
     reported_load: Gauge<f64, AtomicU64>,
 }
 
-/// What the node counts.
+/// The metrics of the node.
 pub(crate) struct Metrics {
     registry: Registry,
     served: Family<CallLabels, Counter>,
@@ -184,12 +184,12 @@
         }
     }
 
-    /// Counts a call that was served by the own upstream.
+    /// Counts a call executed by the own upstream.
     pub(crate) fn record_served(&self, call: &Call, answer: &Answer) {
         self.served.get_or_create(&labels(call, answer)).inc();
     }
 
-    /// Counts a call that was brought to its answer.
+    /// Counts a dispatched call by its final answer.
     pub(crate) fn record_dispatched(&self, call: &Call, answer: &Answer) {
         self.dispatched.get_or_create(&labels(call, answer)).inc();
         self.tally(call, |tally| match answer.outcome {
@@ -200,7 +200,7 @@
         self.allowance_used.inc_by(answer.used.0.into());
     }
 
-    /// Counts a call that was refused before it ran.
+    /// Counts a call refused before execution.
     pub(crate) fn record_shed(&self, call: &Call, reason: Reason) {
         let labels = ShedLabels {
             kind: call.kind.to_string(),
@@ -211,7 +211,7 @@
         self.tally(call, |tally| tally.shed += 1);
     }
 
-    /// Returns what became of the calls so far, by kind and importance.
+    /// Returns the outcomes of calls so far, by kind and importance.
     pub(crate) fn tallies(&self) -> Tallies {
         self.tallies.borrow().clone()
     }
@@ -226,17 +226,17 @@
         self.retries.inc();
     }
 
-    /// Counts a connection to another node that was lost.
+    /// Counts a lost connection to another node.
     pub(crate) fn record_peer_lost(&self) {
         self.peers_lost.inc();
     }
 
-    /// Notes the time that this node added to a call.
+    /// Records the time that this node added to a call.
     pub(crate) fn record_added_time(&self, added: Duration) {
         self.added_time.observe(added.as_secs_f64());
     }
 
-    /// Notes the time that a call spent in the own upstream.
+    /// Records the time that a call spent in the own upstream.
     pub(crate) fn record_upstream_time(&self, kind: &KindName, spent: Duration) {
         let labels = KindLabels {
             kind: kind.to_string(),
@@ -245,21 +245,21 @@
         histogram.observe(spent.as_secs_f64());
     }
 
-    /// Counts control traffic that was sent.
+    /// Counts the bytes of control traffic sent.
     pub(crate) fn record_control_sent(&self, bytes: usize) {
         self.control_sent.inc_by(bytes as u64);
     }
 
-    /// Counts control traffic that was received.
+    /// Counts the bytes of control traffic received.
     pub(crate) fn record_control_received(&self, bytes: usize) {
         self.control_received.inc_by(bytes as u64);
     }
 
-    /// Returns everything in the text format for scraping.
+    /// Returns all metrics in the text format for scraping.
     pub(crate) fn scrape(&self, snapshot: Snapshot) -> String {
         self.gauges.set(snapshot);
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/node/src/node/handover.rs
+++ b/crates/node/src/node/handover.rs
@@ -1,4 +1,4 @@
-//! Hands the answers of finished tickets over to other nodes at a planned stop.
+//! Hands over the answers of finished tickets to other nodes at a planned shutdown.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::settings::Settings;
 use crate::ticket::{Part, Tickets};
 
-/// How long handing everything over to one node may take.
+/// Time limit of the handover to one node.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// The bytes of answers that go into one message.
+/// Limit on the bytes of answers in one message.
 const PART_SIZE: usize = 256 * 1024;
 
-/// Hands what is known about the tickets of this life over to its successors.
+/// Hands over the tickets of this incarnation to its successors.
 pub(crate) async fn hand_over(table: &Table, settings: &Settings) -> Result<(), Missing> {
     let routing = table.find::<Routing>()?;
     let tickets = table.find::<Tickets>()?;
--- a/crates/node/src/node/maintenance.rs
+++ b/crates/node/src/node/maintenance.rs
@@ -1,4 +1,5 @@
-//! What a node does by itself, without a call: announcing, renewing, discovering, preparing.
+//! Background tasks of a node: announcing its state, renewing its row, discovering other nodes,
+//! preparing for events and saving unknown outcomes.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -26,36 +27,36 @@
 use sailtrack_admission::Admission;
 use sailtrack_settings::Identity;
 
-/// Where the nodes' rows stand in the platform's table.
+/// Key prefix of the nodes' rows in the platform's table.
 const NODES_PREFIX: &str = "nodes/";
-/// How often the node looks whether its own state has changed.
+/// How often the node checks whether its own state has changed.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after an operation on the platform that failed once.
+/// Delay after the first failure of an operation on the platform.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// The longest pause after many such failures.
+/// Limit on the delay after repeated failures.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
-/// A row that was not renewed for this many renewals is ignored.
+/// A row is ignored after this many missed renewals.
 const MISSED_RENEWALS: u32 = 3;
-/// How often the node looks whether an event is near.
+/// How often the node checks for upcoming events.
 const PREPARE_INTERVAL: Duration = Duration::from_secs(1);
-/// The connections opened before an event to an upstream with unknown slots.
+/// Connections opened before an event if the upstream's slots are unknown.
 const DEFAULT_PRECONNECT: usize = 20;
-/// How often unknown outcomes are written to the platform.
+/// Interval at which unknown outcomes are written to the platform.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many contacts a node reads at once; they tell it of all others.
+/// Number of contacts that a node reads at once; they tell it about all others by gossip.
 const CONTACT_BATCH: usize = 4;
-/// The greatest pause before a node looks for contacts for the first time.
+/// Limit on the delay before the first discovery.
 const FIRST_DISCOVERY_DELAY: Duration = Duration::from_millis(200);
 
 /// Returns the key of a node's row.
 ///
-/// The hash spreads the rows evenly, so a scan from a random place finds random nodes.
+/// The hash spreads the rows evenly, so a scan from a random position finds random nodes.
 pub(crate) fn row_key(node: &str) -> String {
     format!("{NODES_PREFIX}{:016x}-{node}", xxh3_64(node.as_bytes()))
 }
 
-/// What stands in the row of a node: where others can find it.
+/// The value of a node's row: where other nodes can reach it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Contact {
     node: NodeName,
@@ -64,12 +65,12 @@
     renewed: Timestamp,
 }
 
-/// What a node does by itself.
+/// The background tasks of a node.
 pub(crate) struct Maintenance {
     pub(crate) identity: Identity,
     pub(crate) phase: Rc<Cell<Phase>>,
     pub(crate) renew: Duration,
-    /// The address that other nodes are told.
+    /// The address advertised to other nodes.
     pub(crate) advertise: SocketAddr,
     pub(crate) seeds: Seeds,
     pub(crate) configuration: Rc<Configuration>,
@@ -87,7 +88,7 @@
 }
 
 impl Maintenance {
-    /// Says what state the node is in, and spreads it if that is new.
+    /// Updates the state of this node, and gossips about it if it changed.
     pub(crate) async fn refresh(&self) {
         let ready = self.upstream.is_ready(Instant::now());
         let was = self.membership.local_member().state();
@@ -118,7 +119,7 @@
         emit(&catalogue::UPSTREAM_GONE, &[("reason", &reason)]);
     }
 
-    /// Refreshes the state for as long as the task lives.
+    /// Updates the state regularly until the task ends.
     pub(crate) async fn run_refresh(self: Rc<Self>) {
         loop {
             self.refresh().await;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Renews the node's row, for as long as it does not leave.
+    /// Renews the node's row until the node drains.
     pub(crate) async fn run_renewal(self: Rc<Self>) {
         let mut backoff = Backoff::new(RETRY_DELAY, MAX_RETRY_DELAY);
         while self.phase.get() < Phase::Draining {
@@ -153,10 +154,11 @@
         written.is_ok()
     }
 
-    /// Looks for contacts on the platform, at first often and then as often as rows are renewed.
+    /// Looks for contacts on the platform, at first often and later at the interval at which rows
+    /// are renewed.
     ///
-    /// Nodes that have found some others go on looking, since groups that started apart, or
-    /// were cut off for longer than they remember each other, find together only here.
+    /// Nodes that know others keep looking: only here do groups meet that started apart, or were
+    /// partitioned for longer than they keep records of each other.
     pub(crate) async fn run_discovery(self: Rc<Self>) {
         let mut backoff = Backoff::new(FIRST_DISCOVERY_DELAY, self.renew);
         while self.phase.get() < Phase::Draining {
@@ -172,8 +174,8 @@
         }
     }
 
-    /// Takes in a few contacts from a random place in the table on, and from its start if that
-    /// place is near the end.
+    /// Pings a few contacts, read from a random position in the table on, and continued from its
+    /// start if that position is near the end.
     async fn discover(&self) {
         let from = format!("{NODES_PREFIX}{:016x}", rand::rng().random::<u64>());
         let mut missing = CONTACT_BATCH;
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Asks the seeds from the settings for as long as no other node is known.
+    /// Pings the seeds from the settings until another node is known.
     pub(crate) async fn run_seed_pings(self: Rc<Self>) {
         while self.membership.alive().is_empty() {
             for seed in &self.seeds {
@@ -205,7 +207,7 @@
         self.gossip.send_datagram(&datagram, address).await;
     }
 
-    /// Pings the contacts that are not known to live; only their own answer makes them members.
+    /// Pings the contacts that are not known to be alive; only their own answer makes them members.
     async fn ping_contacts(&self, rows: &[Row]) {
         let now = Timestamp::now();
         let max_age = self.renew * MISSED_RENEWALS;
@@ -230,7 +232,7 @@
         })
     }
 
-    /// Opens connections before an event, for as long as the task lives.
+    /// Opens connections before upcoming events until the task ends.
     pub(crate) async fn run_event_preparation(self: Rc<Self>) {
         loop {
             let current = self.configuration.current();
@@ -271,11 +273,11 @@
         }
     }
 
-    /// Writes one unknown outcome, and takes it back if it has been settled meanwhile; returns
-    /// false if it could not be written.
+    /// Writes one unknown outcome, and removes it again if it has been settled meanwhile; returns
+    /// false if the write failed.
     ///
-    /// A settlement stands in the table before its row here is removed, so
-    /// looking after the write misses none.
+    /// A settlement is written before the row of the unknown outcome is removed, so checking for it
+    /// after the write misses none.
     async fn save_unknown(&self, unknown: Unknown) -> bool {
         let key = unknown_key(&unknown.ticket);
         let row = serde_json::to_string(&unknown).unwrap_or_default();
@@ -291,7 +293,7 @@
         true
     }
 
-    /// Writes all unknown outcomes up to the first that cannot be written; returns false then.
+    /// Writes all unsaved outcomes; stops and returns false at the first failure.
     async fn save_unknowns(&self) -> bool {
         let mut unsaved = self.unknowns.drain_unsaved().into_iter();
         while let Some(unknown) = unsaved.next() {
@@ -303,7 +305,7 @@
         true
     }
 
-    /// Writes unknown outcomes to the platform, for as long as the task lives.
+    /// Writes unknown outcomes to the platform until the task ends.
     pub(crate) async fn run_unknown_saving(self: Rc<Self>) {
         let mut backoff = Backoff::new(SAVE_INTERVAL, MAX_RETRY_DELAY);
         loop {
@@ -313,7 +315,7 @@
             }
             backoff.reset();
             for ticket in self.unknowns.drain_resolved() {
-                // A row that stays is shown until an operator settles it.
+                // A row that could not be removed is listed until an operator settles it.
                 let _ = self.platform.remove(&unknown_key(&ticket)).await;
             }
             sleep(SAVE_INTERVAL).await;
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Puts the services of a node together and leads it through its life.
+//! Sets up the services of a node and runs it through its lifecycle.
 
 mod handover;
 mod maintenance;
@@ -23,20 +23,20 @@
 use crate::settings::Settings;
 use maintenance::Maintenance;
 
-/// How often waiting for a condition looks at it.
+/// Interval at which wait conditions are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a new node waits for another one to know the same members.
+/// How long a new node waits until another node has the same view of the members.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a leaving node goes on refusing what stale callers still send.
+/// Minimum time for which a draining node keeps refusing calls from callers with an outdated view.
 const MIN_DRAIN_TIME: Duration = Duration::from_secs(1);
-/// It goes on until none has sent anything for this long,
+/// Draining continues until no call has arrived for this long,
 const QUIET_TIME: Duration = Duration::from_millis(500);
-/// but no longer than this, since some may never hear that it leaves.
+/// but no longer than this, since some callers may never learn that the node is draining.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
-/// How long removing the node's row may hold up its end.
+/// Time limit for removing the node's row at shutdown.
 const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Runs a node from its start to its planned stop.
+/// Runs a node from start to planned shutdown.
 pub(crate) async fn run(settings: Settings) -> Result<(), Error> {
     let mut terminate = Terminate::install().map_err(Error::Signal)?;
     let lifecycle = Life::<Joining>::default();
@@ -59,10 +59,10 @@
     Ok(())
 }
 
-/// Waits for the first configuration and for the members that others know; returns false if
-/// the node is stopped before.
+/// Waits for the first configuration and for a converged view of the members; returns false if the
+/// node is stopped before.
 ///
-/// A node that served before it knew anybody would fail the calls of its upstream.
+/// A node that served before it knew other members would fail the calls of its upstream.
 async fn join(table: &Table, terminate: &mut Terminate) -> Result<bool, Error> {
     let configuration = table.find::<Configuration>()?;
     let membership = table.find::<Membership>()?;
@@ -97,7 +97,7 @@
     Ok(lifecycle.drain())
 }
 
-/// Announces that the node leaves, finishes what is in flight and ends its life.
+/// Announces that the node is leaving, finishes the calls in flight and shuts down.
 async fn drain(
     table: &Rc<Table>,
     settings: &Settings,
@@ -127,7 +127,7 @@
     }
     handover::hand_over(table, settings).await?;
     let row = maintenance::row_key(&membership.local_member().node);
-    // The row of a node that is gone is ignored by its age in any case.
+    // If this fails, the row is ignored once it is too old.
     let _ = monoio::time::timeout(DEREGISTRATION_TIMEOUT, platform.remove(&row)).await;
     let _stopped = lifecycle.stop();
     Ok(())
--- a/crates/node/src/node/services.rs
+++ b/crates/node/src/node/services.rs
@@ -1,4 +1,4 @@
-//! Makes the services of a node, installs them in the table and starts their tasks.
+//! Creates the services of a node, installs them in the table and starts their tasks.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -36,12 +36,12 @@
 use crate::upstream::Upstream;
 use sailtrack_admission::{Admission, Windows};
 
-/// How many heard-of versions wait to be fetched.
+/// Number of reported newer versions that may wait to be fetched.
 const NEWER_VERSIONS_CAPACITY: usize = 4;
-/// The bits of an incarnation that are drawn at random.
+/// Number of random bits in an incarnation number.
 const INCARNATION_RANDOM_BITS: u32 = 12;
 
-/// The sockets of a node, all open before anything is started.
+/// The sockets of a node, all opened before any task starts.
 struct Sockets {
     client: Port,
     local: Port,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns an incarnation that is higher than that of any earlier life.
+/// Returns an incarnation number that is higher than that of any earlier incarnation.
 fn new_incarnation() -> Incarnation {
     let random = rand::rng().random_range(0..1 << INCARNATION_RANDOM_BITS);
     Incarnation(Timestamp::now().0 << INCARNATION_RANDOM_BITS | random)
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -1,4 +1,4 @@
-//! Checked options from the command line.
+//! Validated command-line options.
 
 use std::path::PathBuf;
 
@@ -7,7 +7,7 @@
 
 use crate::settings::Settings;
 
-/// What the command line asks for, with the settings read and checked.
+/// The command-line options, with the settings read and validated.
 #[derive(Debug)]
 pub(crate) struct Options {
     pub(crate) file: PathBuf,
@@ -16,7 +16,7 @@
 }
 
 impl Options {
-    /// Returns the options, or every mistake in the settings.
+    /// Returns the options, or all errors in the settings.
     pub(crate) fn from_matches(matches: &ArgMatches) -> Result<Self, Error> {
         let file = matches.get_one::<PathBuf>("settings").cloned();
         let file = file.unwrap_or_default();
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -12,7 +12,7 @@
 const ADDRESS: &str = "an IP number with a port, such as 127.0.0.1:7100";
 const PERIOD: &str = "a period such as 250ms, 5s or 10m";
 
-/// A call for a request in progress waits this many times longer than a new one.
+/// A nested call may wait in the admission queue this many times longer than a root request.
 const NESTED_QUEUE_TIME_FACTOR: u32 = 2;
 
 /// The addresses on which the node listens.
@@ -24,49 +24,49 @@
     pub(crate) local: SocketAddr,
     /// For other nodes, TCP and UDP.
     pub(crate) peer: SocketAddr,
-    /// What other nodes are told to connect to.
+    /// The address advertised to other nodes.
     pub(crate) advertise: SocketAddr,
     /// For operators and for scraping metrics.
     pub(crate) operator: SocketAddr,
 }
 
-/// Where the platform is and how often it is asked.
+/// Address of the platform, and polling intervals.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Platform {
     pub(crate) address: SocketAddr,
-    /// How often the configuration's version is read.
+    /// Interval at which the configuration's version is polled.
     pub(crate) poll: Period,
-    /// How often the node's own row is renewed.
+    /// Interval at which the node's row is renewed.
     pub(crate) renew: Period,
 }
 
-/// How the node decides.
+/// Settings of admission, retries and tickets.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Tuning {
-    /// Who may enter the own upstream.
+    /// Admission to the own upstream.
     pub(crate) admission: admission::Config,
-    /// The share of calls that retries may add.
+    /// Ratio of retries to successful calls.
     pub(crate) retry_ratio: Ratio,
-    /// How long a ticket can be used.
+    /// Lifetime of a ticket.
     pub(crate) ticket_lifetime: Period,
-    /// The most memory for the answers of finished tickets.
+    /// Limit on the memory for the answers of finished tickets.
     pub(crate) ticket_memory: ByteSize,
 }
 
-/// How nodes watch each other.
+/// Settings of the failure detector.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Detector {
-    /// The time between two probes.
+    /// Interval between two probes.
     pub(crate) period: Period,
-    /// How long an answer to a probe may take.
+    /// Timeout of a probe.
     pub(crate) timeout: Period,
-    /// How long a suspected node may take to answer for itself.
+    /// How long a suspect may take to refute the suspicion before it is declared dead.
     pub(crate) suspicion_timeout: Period,
-    /// How long a dead node is remembered and looked for.
+    /// How long the record of a dead member is kept, and the member probed.
     pub(crate) retention: Period,
 }
 
-/// First contacts for a node that starts while the platform is down.
+/// Addresses of first contacts for a node that starts while the platform is down.
 pub(crate) type Seeds = Vec<SocketAddr>;
 
 /// All settings of a node.
