--- a/crates/node/src/membership/tests.rs
+++ b/crates/node/src/membership/tests.rs
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn life_after_death() {
+fn dead_member_refutes() {
     let now = Instant::now();
     let membership = node("desk-1");
     assert!(membership.merge(&member("desk-2", State::Serving), now));
     assert!(membership.merge(&member("desk-2", State::Dead), now));
     assert!(!membership.merge(&member("desk-2", State::Serving), now));
-    let contradicted = Member {
+    let refuted = Member {
         revision: 1,
         ..member("desk-2", State::Serving)
     };
-    assert!(membership.merge(&contradicted, now));
+    assert!(membership.merge(&refuted, now));
     assert_eq!(membership.alive().len(), 1);
 }
--- a/crates/node/src/peer/link.rs
+++ b/crates/node/src/peer/link.rs
@@ -218,7 +218,7 @@
                 Body::Answer(answer) => self.handle_answer(answer),
                 Body::Chunk(chunk) => self.handle_chunk(chunk.exchange, &chunk.data),
                 Body::Config(config) => self.handle_config(&config),
-                // Everything else is for the other direction or for the port of sailtrack-mesh.
+                // The other messages are for the opposite direction or for the peer port of sailtrack-mesh.
                 _ => {}
             }
         }
@@ -231,11 +231,9 @@
             return;
         }
         match Reassembly::new(head) {
-            Some(reassembly) if reassembly.is_complete() => {
-                self.complete(exchange, reassembly.finish())
-            }
-            Some(reassembly) => {
-                self.reassembling.borrow_mut().insert(exchange, reassembly);
+            Some(partial) if partial.is_complete() => self.complete(exchange, partial.finish()),
+            Some(partial) => {
+                self.reassembling.borrow_mut().insert(exchange, partial);
             }
             None => self.complete(exchange, Answer::unknown(Reason::AnswerTooLarge)),
         }
--- a/crates/node/src/routing/decay.rs
+++ b/crates/node/src/routing/decay.rs
@@ -6,7 +6,7 @@
 
 /// How long a reported level counts in full.
 const HOLD_TIME: Duration = Duration::from_millis(300);
-/// Decay after that, in ranks per second; it makes the node try the member again.
+/// Decay after that, in ranks per second; so that a service that rejected requests is tried again.
 const DECAY_PER_SECOND: f64 = 80.0;
 
 /// An admission level and the time of the report.
--- a/crates/node/src/routing/mod.rs
+++ b/crates/node/src/routing/mod.rs
@@ -208,9 +208,7 @@
             return;
         };
         let now = Instant::now();
-        self.with_load(&peer.name, |load| {
-            load.record_answer(now, root_kind, answer)
-        });
+        self.with_load(&peer.name, |load| load.observe(now, root_kind, answer));
     }
 
     /// Returns the lowest rank known to be admitted by a member of the service.
--- a/crates/node/src/routing/peer_load.rs
+++ b/crates/node/src/routing/peer_load.rs
@@ -49,7 +49,7 @@
     }
 
     /// Updates load and health from an answer of the member.
-    pub(crate) fn record_answer(&mut self, now: Instant, root_kind: &KindName, answer: &Answer) {
+    pub(crate) fn observe(&mut self, now: Instant, root_kind: &KindName, answer: &Answer) {
         if is_failure(answer) {
             self.record_failure(now, answer.reason == Reason::Connection);
             return;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -62,7 +62,7 @@
     pub(crate) timeout: Period,
     /// How long a suspect may take to refute the suspicion before it is declared dead.
     pub(crate) suspicion_timeout: Period,
-    /// How long the record of a dead member is kept, and the member probed.
+    /// How long a dead member's record is kept and the member is still probed.
     pub(crate) retention: Period,
 }
 
--- a/crates/node/src/ticket/mod.rs
+++ b/crates/node/src/ticket/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) use handover::{Entry, Part};
 use record::{RECORD_OVERHEAD, Record, State, footprint};
 
-/// Limit on the clock skew of a ticket minted in the future.
+/// Limit on how far in the future a ticket may be minted, to allow for clock skew.
 const MAX_SKEW: Duration = Duration::from_mins(1);
 /// Limit on the number of tickets recorded at once.
 const MAX_RECORDS: usize = 200_000;
@@ -219,9 +219,9 @@
 
     /// Drops the records of finished requests whose tickets have expired.
     ///
-    /// The clock never goes back, so a ticket stays expired after its record is gone. Records are
-    /// dropped in order of arrival, at the earliest one ticket lifetime plus the maximum skew after
-    /// it.
+    /// The clock never goes back, so a ticket stays expired after its record is gone. Records
+    /// are dropped in order of arrival, and no earlier than one ticket lifetime plus the maximum
+    /// skew after it.
     fn evict_expired(&self, now: Timestamp) {
         let mut by_arrival = self.by_arrival.borrow_mut();
         let mut records = self.records.borrow_mut();
--- a/crates/node/src/ticket/tests.rs
+++ b/crates/node/src/ticket/tests.rs
@@ -31,7 +31,10 @@
         panic!("a second copy must wait");
     };
     tickets.close(&ticket, &answer());
-    let received = waiting.try_recv().expect("it is told").expect("at once");
+    let received = waiting
+        .try_recv()
+        .expect("not cancelled")
+        .expect("an answer");
     assert_eq!(received.body, answer().body);
     assert!(matches!(tickets.begin(&ticket), Disposition::Closed(_)));
 }
@@ -49,7 +52,7 @@
 }
 
 #[test]
-fn other_life_is_foreign() {
+fn other_incarnation_is_foreign() {
     let tickets = tickets(1 << 20);
     let ticket = Ticket {
         incarnation: Incarnation(6),
@@ -97,7 +100,7 @@
         match tickets.begin(&ticket) {
             Disposition::Run => tickets.close(&ticket, &answer()),
             Disposition::Full => full = true,
-            _ => panic!("a fresh ticket runs or finds no room"),
+            _ => panic!("a new ticket must run or find no memory"),
         }
     }
     assert!(full);
@@ -136,21 +139,21 @@
         assert!(successor.receive(part, Instant::now()));
     }
     let Disposition::Closed(first) = successor.begin(&done) else {
-        panic!("its answer was left");
+        panic!("its answer must be known");
     };
     assert_eq!(first.body, answer().body);
     let Disposition::Closed(refusal) = successor.begin(&refused) else {
-        panic!("its refusal was left");
+        panic!("its refusal must be known");
     };
     assert_eq!(refusal.reason, Reason::Overload);
     let Disposition::Closed(never) = successor.begin(&unused) else {
-        panic!("all was left, so it never ran");
+        panic!("the handover is complete, so it never ran");
     };
     assert_eq!(never.outcome, Outcome::NotRun);
 }
 
 #[test]
-fn part_denies_nothing() {
+fn partial_handover_inconclusive() {
     let (home, [_, _, unused]) = home_with_tickets();
     let successor = successor();
     let mut parts = home.handover_parts(1);
@@ -160,7 +163,7 @@
     }
     assert!(
         matches!(successor.begin(&unused), Disposition::Foreign),
-        "what is missing may have run"
+        "a missing ticket may have run"
     );
 }
 
@@ -190,7 +193,7 @@
         assert!(successor.receive(part, Instant::now()));
     }
     let Disposition::Closed(answer) = successor.begin(&running) else {
-        panic!("it is known that it began");
+        panic!("its start must be known");
     };
     assert_eq!(answer.outcome, Outcome::Unknown);
 }
