--- a/crates/node/src/membership/mod.rs
+++ b/crates/node/src/membership/mod.rs
@@ -102,8 +102,8 @@
     pub(crate) fn suspicion_of(&self, name: &NodeName) -> Option<Member> {
         let records = self.records.borrow();
         let record = records.get(name)?;
-        let accused = matches!(record.state, State::Suspect | State::Dead);
-        accused.then(|| record.to_member())
+        let is_suspected = matches!(record.state, State::Suspect | State::Dead);
+        is_suspected.then(|| record.to_member())
     }
 
     /// Returns every other member with its state.
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Returns true unless the last operation failed.
+    /// Returns true if the last operation got a response, whatever its status.
     pub(crate) fn is_reachable(&self) -> bool {
         !self.is_unreachable.get()
     }
