--- a/crates/node/src/configuration/accept.rs
+++ b/crates/node/src/configuration/accept.rs
@@ -1,8 +1,8 @@
-//! Accepts an operator's change by compare-and-set of the configuration's row.
+//! Accepts an operator's change by compare-and-swap on the configuration's row.
 //!
-//! The write that takes effect is the acceptance. When its answer is lost the
-//! row is read, and if the write is not there a fence is written, after which
-//! it cannot take effect any more; only then is anything said to the operator.
+//! The write that takes effect is the acceptance. If its answer is lost, the row is read; if the
+//! write is not there, a fence is written, after which the write can no longer take effect. Only
+//! then is the operator answered.
 
 use std::rc::Rc;
 
@@ -12,36 +12,36 @@
 use sailtrack_units::{ConfigVersion, OperatorName, Timestamp};
 
 use crate::configuration::{CONFIG_KEY, Change, Configuration, Content, Source};
-use crate::platform::{Expect, Platform, PlatformError, Row, Written};
+use crate::platform::{Platform, PlatformError, Precondition, Row, Written};
 
-/// The most changes kept in the history.
-const HISTORY: usize = 64;
-/// How often an unanswered write is looked for before the outcome is called unknown.
+/// Limit on the changes kept in the history.
+const MAX_HISTORY: usize = 64;
+/// Number of attempts to find an unanswered write before its outcome is reported as unknown.
 const RESOLVE_ATTEMPTS: u32 = 3;
-/// The summary of a change that only keeps an earlier write from taking effect.
+/// Summary of a change that only fences off an earlier write.
 const FENCE: &str = "fence";
 
-/// A change that an operator asks for.
+/// A change proposed by an operator.
 #[derive(Debug, Clone)]
-pub(crate) struct Decision {
+pub(crate) struct Proposal {
     pub(crate) command: String,
     pub(crate) operator: OperatorName,
-    /// The version that the operator based the change on.
+    /// The version on which the operator based the change.
     pub(crate) base: ConfigVersion,
     pub(crate) summary: String,
     pub(crate) declaration: Declaration,
 }
 
-/// What became of a change.
+/// The outcome of a proposed change.
 #[derive(Debug, Clone)]
 pub(crate) enum Acceptance {
-    /// It was accepted as this version.
+    /// The change was accepted as this version.
     Accepted(ConfigVersion),
     /// Another change was accepted first; this one had no effect.
     Conflict(Option<Change>, ConfigVersion),
-    /// It had no effect and cannot take effect later.
+    /// The change had no effect and cannot take effect later.
     Refused(PlatformError),
-    /// It may or may not take effect; ask again by the command's id.
+    /// The change may or may not take effect; its outcome can be queried by the command's id.
     Unknown,
 }
 
@@ -56,26 +56,28 @@
 }
 
 impl Acceptor {
-    /// Tries to get a change accepted and says what became of it.
-    pub(crate) async fn accept(&self, decision: Decision) -> Acceptance {
-        let base = decision.base;
-        let text = self.content_with(&decision);
+    /// Proposes a change and returns its outcome.
+    pub(crate) async fn accept(&self, proposal: Proposal) -> Acceptance {
+        let base = proposal.base;
+        let value = self.content_with(&proposal);
         let expect = match base.0 {
-            0 => Expect::Absent,
-            version => Expect::Version(version),
+            0 => Precondition::Absent,
+            version => Precondition::Version(version),
         };
-        match self.platform.write(CONFIG_KEY, expect, text).await {
-            Ok(Written::Done(row)) => self.accepted(&decision, &row),
-            Ok(Written::Conflict(row)) => self.lost(&decision.command, &decision.operator, &row),
+        match self.platform.write(CONFIG_KEY, expect, value).await {
+            Ok(Written::Done(row)) => self.record_acceptance(&proposal, &row),
+            Ok(Written::Conflict(row)) => {
+                self.outcome_of(&proposal.command, &proposal.operator, &row)
+            }
             Err(PlatformError::Unanswered | PlatformError::Malformed) => {
-                self.resolve(&decision.command, &decision.operator, base)
+                self.resolve(&proposal.command, &proposal.operator, base)
                     .await
             }
             Err(error) => Acceptance::Refused(error),
         }
     }
 
-    /// Finds out what became of a command that was based on `base`.
+    /// Determines the outcome of a command that was based on `base`.
     pub(crate) async fn resolve(
         &self,
         command: &str,
@@ -88,7 +90,7 @@
             };
             match row {
                 Some(row) if row.version > base.0 => {
-                    return self.lost(command, operator, &row);
+                    return self.outcome_of(command, operator, &row);
                 }
                 row => self.fence(operator, row.as_ref()).await,
             }
@@ -96,12 +98,12 @@
         Acceptance::Unknown
     }
 
-    /// Raises the version without a change, so that an earlier write can no longer take effect.
+    /// Increments the version without a change, so that an earlier write can no longer take effect.
     async fn fence(&self, operator: &OperatorName, row: Option<&Row>) {
         let content = row.and_then(|row| serde_json::from_str(&row.value).ok());
         let mut content: Content = content.unwrap_or_default();
         let version = row.map_or(0, |row| row.version);
-        push(
+        append_change(
             &mut content,
             Change {
                 command: format!("{FENCE}-{version}"),
@@ -112,56 +114,56 @@
             },
         );
         let expect = match version {
-            0 => Expect::Absent,
-            version => Expect::Version(version),
+            0 => Precondition::Absent,
+            version => Precondition::Version(version),
         };
-        // Whether it took effect is seen by the next reading.
+        // The next read shows whether the fence took effect.
         let _ = self
             .platform
             .write(CONFIG_KEY, expect, encode(&content))
             .await;
     }
 
-    fn content_with(&self, decision: &Decision) -> String {
+    fn content_with(&self, proposal: &Proposal) -> String {
         let mut content = self.configuration.current().content.clone();
-        content.declaration = decision.declaration.to_string();
-        push(
+        content.declaration = proposal.declaration.to_string();
+        append_change(
             &mut content,
             Change {
-                command: decision.command.clone(),
-                operator: decision.operator.clone(),
-                version: ConfigVersion(decision.base.0 + 1),
+                command: proposal.command.clone(),
+                operator: proposal.operator.clone(),
+                version: ConfigVersion(proposal.base.0 + 1),
                 at: Timestamp::now(),
-                summary: decision.summary.clone(),
+                summary: proposal.summary.clone(),
             },
         );
         encode(&content)
     }
 
-    fn accepted(&self, decision: &Decision, row: &Row) -> Acceptance {
+    fn record_acceptance(&self, proposal: &Proposal, row: &Row) -> Acceptance {
         let version = ConfigVersion(row.version);
         emit(
             &catalogue::CONFIG_ACCEPTED,
             &[
                 ("version", &version),
-                ("operator", &decision.operator),
-                ("command", &decision.command),
+                ("operator", &proposal.operator),
+                ("command", &proposal.command),
             ],
         );
-        self.put_into_force(row, Source::Operator);
+        self.activate(row, Source::Operator);
         Acceptance::Accepted(version)
     }
 
-    /// Returns the outcome of a command whose version is not the one that it wrote itself.
-    fn lost(&self, command: &str, operator: &OperatorName, row: &Row) -> Acceptance {
-        self.put_into_force(row, Source::Platform);
+    /// Returns the outcome of a command after its row was found at a newer version.
+    fn outcome_of(&self, command: &str, operator: &OperatorName, row: &Row) -> Acceptance {
+        self.activate(row, Source::Platform);
         let content: Content = serde_json::from_str(&row.value).unwrap_or_default();
-        let own = content
+        let own_change = content
             .history
             .iter()
             .find(|change| change.command == command);
-        if let Some(own) = own {
-            return Acceptance::Accepted(own.version);
+        if let Some(own_change) = own_change {
+            return Acceptance::Accepted(own_change.version);
         }
         let winner = content.history.last().cloned();
         let name = winner
@@ -179,16 +181,16 @@
         Acceptance::Conflict(winner, version)
     }
 
-    fn put_into_force(&self, row: &Row, source: Source) {
+    fn activate(&self, row: &Row, source: Source) {
         let version = ConfigVersion(row.version);
-        // A configuration that cannot be read is logged where it is refused.
-        let _ = self.configuration.raise(version, &row.value, source);
+        // A configuration that cannot be parsed is logged by `advance`.
+        let _ = self.configuration.advance(version, &row.value, source);
     }
 }
 
-fn push(content: &mut Content, change: Change) {
+fn append_change(content: &mut Content, change: Change) {
     content.history.push(change);
-    let surplus = content.history.len().saturating_sub(HISTORY);
+    let surplus = content.history.len().saturating_sub(MAX_HISTORY);
     content.history.drain(..surplus);
 }
 
--- a/crates/node/src/membership/digest.rs
+++ b/crates/node/src/membership/digest.rs
@@ -1,4 +1,4 @@
-//! A short digest of all that a node knows about the members.
+//! A digest of the membership view, used for anti-entropy.
 
 use sailtrack_wire::{Member, State};
 use xxhash_rust::xxh3::xxh3_64;
@@ -6,19 +6,33 @@
 use crate::membership::Membership;
 
 impl Membership {
-    /// Returns a digest that is equal on nodes that know the same members.
+    /// Returns a digest that is equal on nodes with the same view of the members.
     ///
-    /// The dead are left out, since nodes forget them at different times.
+    /// Dead members are left out, since nodes drop their records at different times.
     pub(crate) fn digest(&self) -> u64 {
-        let known = self.known.borrow();
-        let present = known.values().filter(|known| known.state != State::Dead);
-        let others = present.map(|known| {
-            let identity = (known.peer.incarnation.0, known.revision, known.state as i32);
-            entry(known.peer.name.as_str(), identity)
+        let records = self.records.borrow();
+        let present = records
+            .values()
+            .filter(|record| record.state != State::Dead);
+        let others = present.map(|record| {
+            let identity = (
+                record.peer.incarnation.0,
+                record.revision,
+                record.state as i32,
+            );
+            entry(record.peer.name.as_str(), identity)
         });
         let others = others.fold(0, |digest, entry| digest ^ entry);
-        let me: &Member = &self.me.borrow();
-        others ^ entry(&me.node, (me.incarnation, me.revision, me.state))
+        let local_member: &Member = &self.local_member.borrow();
+        others
+            ^ entry(
+                &local_member.node,
+                (
+                    local_member.incarnation,
+                    local_member.revision,
+                    local_member.state,
+                ),
+            )
     }
 }
 
--- a/crates/node/src/membership/probe.rs
+++ b/crates/node/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes the other members, one after the other in random order.
+//! Failure detection: probes the other members one by one in random order.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,14 +10,14 @@
 
 use crate::membership::{Gossip, Membership, Peer};
 
-/// How many other members are asked to probe one that did not answer.
-const HELPERS: usize = 2;
-/// One in this many rounds looks for members held for dead.
-const SEARCH_ROUNDS: u64 = 4;
+/// Number of members asked to probe indirectly a member that did not answer.
+const INDIRECT_PROBES: usize = 2;
+/// Dead members are probed once in this many rounds.
+const DEAD_PROBE_ROUNDS: u64 = 4;
 
 impl Gossip {
-    /// Probes members for as long as the task lives; tells `lost` who is held for dead.
-    pub(crate) async fn probe(self: Rc<Self>, lost: impl Fn(&Peer)) {
+    /// Probes members until the task ends; calls `on_dead` for each member declared dead.
+    pub(crate) async fn probe(self: Rc<Self>, on_dead: impl Fn(&Peer)) {
         let mut order: Vec<Rc<Peer>> = Vec::new();
         let mut round: u64 = 0;
         loop {
@@ -26,14 +26,14 @@
             if let Some(peer) = next(&mut order, &self.membership) {
                 self.probe_one(&peer).await;
             }
-            if round.is_multiple_of(SEARCH_ROUNDS) {
-                self.search_dead().await;
+            if round.is_multiple_of(DEAD_PROBE_ROUNDS) {
+                self.probe_dead().await;
             }
-            let expired = self.membership.expire(Instant::now(), &self.watch);
+            let expired = self.membership.expire(Instant::now(), &self.detector);
             for peer in &expired {
-                lost(peer);
+                on_dead(peer);
             }
-            sleep(self.watch.period.0.saturating_sub(started.elapsed())).await;
+            sleep(self.detector.period.0.saturating_sub(started.elapsed())).await;
         }
     }
 
@@ -51,22 +51,22 @@
 
     async fn ping(&self, peer: &Peer, sequence: u64, mut answer: oneshot::Receiver<()>) -> bool {
         self.send(Purpose::Ping, sequence, peer, false).await;
-        if timeout(self.watch.timeout.0, &mut answer).await.is_ok() {
+        if timeout(self.detector.timeout.0, &mut answer).await.is_ok() {
             return true;
         }
-        self.ask_helpers(peer, sequence).await;
-        let rest: Duration = self.watch.timeout.0;
-        timeout(rest, answer).await.is_ok()
+        self.probe_indirectly(peer, sequence).await;
+        let remaining: Duration = self.detector.timeout.0;
+        timeout(remaining, answer).await.is_ok()
     }
 
-    async fn ask_helpers(&self, peer: &Peer, sequence: u64) {
+    async fn probe_indirectly(&self, peer: &Peer, sequence: u64) {
         let alive = self.membership.alive();
         let others: Vec<&Rc<Peer>> = alive
             .iter()
             .filter(|other| other.name != peer.name)
             .collect();
         let helpers: Vec<Rc<Peer>> = others
-            .choose_multiple(&mut rand::rng(), HELPERS)
+            .choose_multiple(&mut rand::rng(), INDIRECT_PROBES)
             .map(|helper| Rc::clone(helper))
             .collect();
         for helper in helpers {
@@ -76,23 +76,23 @@
         }
     }
 
-    /// Pings one member that is held for dead; if it lives, it will contradict that.
-    async fn search_dead(&self) {
+    /// Pings a random member considered dead; if it is alive, it refutes that.
+    async fn probe_dead(&self) {
         let all = self.membership.all();
         let dead: Vec<_> = all
             .iter()
             .filter(|(_, state)| *state == State::Dead)
             .collect();
-        let chosen = dead
+        let selected = dead
             .choose(&mut rand::rng())
             .map(|(peer, _)| Rc::clone(peer));
-        if let Some(peer) = chosen {
-            self.greet(&peer).await;
+        if let Some(peer) = selected {
+            self.sync(&peer).await;
         }
     }
 }
 
-/// Returns the next member to probe, in an order that is drawn anew when it is used up.
+/// Returns the next member to probe, in a random order that is reshuffled after each pass.
 fn next(order: &mut Vec<Rc<Peer>>, membership: &Membership) -> Option<Rc<Peer>> {
     if order.is_empty() {
         *order = membership.alive();
--- a/crates/node/src/membership/tests.rs
+++ b/crates/node/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! What a node takes in about members, and when it forgets them.
+//! Which membership updates a node accepts, and when it drops the records of dead members.
 
 use std::time::{Duration, Instant};
 
@@ -6,9 +6,9 @@
 use sailtrack_wire::{Member, State};
 
 use crate::membership::Membership;
-use crate::settings::Watch;
+use crate::settings::Detector;
 
-const FORGET: Duration = Duration::from_mins(10);
+const RETENTION: Duration = Duration::from_mins(10);
 
 fn member(node: &str, state: State) -> Member {
     Member {
@@ -27,12 +27,12 @@
     Membership::new(member(name, State::Serving))
 }
 
-fn watch() -> Watch {
-    Watch {
+fn detector() -> Detector {
+    Detector {
         period: Period::from_millis(500),
         timeout: Period::from_millis(200),
-        suspicion: Period::from_millis(1500),
-        forget: Period(FORGET),
+        suspicion_timeout: Period::from_millis(1500),
+        retention: Period(RETENTION),
     }
 }
 
@@ -52,12 +52,12 @@
         assert!(node.merge(&member("desk-3", State::Serving), now));
         assert!(node.merge(&member("desk-3", State::Dead), now));
     }
-    let later = now + FORGET;
-    nodes[0].expire(later, &watch());
+    let later = now + RETENTION;
+    nodes[0].expire(later, &detector());
     assert!(nodes[0].all().is_empty());
-    // The other one has not forgotten yet and tells what it knows.
+    // The other node still has the record and sends it on.
     nodes[0].merge(&member("desk-3", State::Dead), later);
-    nodes[1].expire(later, &watch());
+    nodes[1].expire(later, &detector());
     assert!(nodes[0].all().is_empty());
     assert!(nodes[1].all().is_empty());
 }
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn life_after_death() {
+fn dead_member_refutes() {
     let now = Instant::now();
     let membership = node("desk-1");
     assert!(membership.merge(&member("desk-2", State::Serving), now));
     assert!(membership.merge(&member("desk-2", State::Dead), now));
     assert!(!membership.merge(&member("desk-2", State::Serving), now));
-    let contradicted = Member {
+    let refuted = Member {
         revision: 1,
         ..member("desk-2", State::Serving)
     };
-    assert!(membership.merge(&contradicted, now));
+    assert!(membership.merge(&refuted, now));
     assert_eq!(membership.alive().len(), 1);
 }
--- a/crates/node/src/node/handover.rs
+++ b/crates/node/src/node/handover.rs
@@ -1,4 +1,4 @@
-//! Hands the answers of finished tickets over to other nodes at a planned stop.
+//! Hands over the answers of finished tickets to other nodes at a planned shutdown.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::settings::Settings;
 use crate::ticket::{Part, Tickets};
 
-/// How long handing everything over to one node may take.
-const HAND_OVER_TIME: Duration = Duration::from_secs(2);
-/// The bytes of answers that go into one message.
+/// Time limit of the handover to one node.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on the bytes of answers in one message.
 const PART_SIZE: usize = 256 * 1024;
 
-/// Hands what is known about the tickets of this life over to its successors.
+/// Hands over the tickets of this incarnation to its successors.
 pub(crate) async fn hand_over(table: &Table, settings: &Settings) -> Result<(), Missing> {
     let routing = table.find::<Routing>()?;
     let tickets = table.find::<Tickets>()?;
@@ -42,13 +42,13 @@
         }
         true
     };
-    let taken = timeout(HAND_OVER_TIME, sending).await.unwrap_or(false);
+    let accepted = timeout(HANDOVER_TIMEOUT, sending).await.unwrap_or(false);
     emit(
         &catalogue::TICKETS_HANDED_OVER,
         &[
             ("node", &successor.name),
             ("tickets", &total),
-            ("taken", &taken),
+            ("taken", &accepted),
         ],
     );
 }
--- a/crates/node/src/node/services.rs
+++ b/crates/node/src/node/services.rs
@@ -1,4 +1,4 @@
-//! Makes the services of a node, installs them in the table and starts their tasks.
+//! Creates the services of a node, installs them in the table and starts their tasks.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 use sailtrack_units::{Incarnation, Timestamp};
 use sailtrack_wire::{Member, State};
 
+use crate::accountant::Accountant;
 use crate::burn::Burn;
-use crate::configuration::{Acceptor as ConfigAcceptor, Configuration, Spreader};
+use crate::configuration::{Acceptor as ConfigAcceptor, Configuration, Fetcher};
 use crate::context::Contexts;
 use crate::dispatch::Dispatcher;
-use crate::entrance::Entrance;
 use crate::execute::Executor;
 use crate::membership::{Gossip, Membership};
 use crate::metrics::Metrics;
-use crate::node::duty::Duties;
+use crate::node::maintenance::Maintenance;
 use crate::operator::Operator;
 use crate::peer::{Acceptor as PeerAcceptor, Peers};
 use crate::platform::Platform;
 use crate::port::{ClientPort, LocalPort, OperatorPort};
-use crate::retry::Ratios;
+use crate::retry::Limiter;
 use crate::routing::{Downstream, Routing};
 use crate::settings::Settings;
 use crate::ticket::Tickets;
@@ -36,12 +36,12 @@
 use crate::upstream::Upstream;
 use sailtrack_admission::{Admission, Windows};
 
-/// How many heard-of versions wait to be fetched.
-const HEARD_CAPACITY: usize = 4;
-/// The bits of an incarnation that are drawn at random.
+/// Number of reported newer versions that may wait to be fetched.
+const NEWER_VERSIONS_CAPACITY: usize = 4;
+/// Number of random bits in an incarnation number.
 const INCARNATION_RANDOM_BITS: u32 = 12;
 
-/// The sockets of a node, all open before anything is started.
+/// The sockets of a node, all opened before any task starts.
 struct Sockets {
     client: Port,
     local: Port,
@@ -54,7 +54,7 @@
 pub(crate) fn start(
     table: &Rc<Table>,
     settings: &Settings,
-    life: &Lifecycle<Joining>,
+    lifecycle: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
     let sockets = open(settings)?;
@@ -67,9 +67,15 @@
         gossip,
     } = sockets;
     install_network(table, settings, gossip)?;
-    install_decisions(table, settings, life, in_flight)?;
+    install_decisions(table, settings, lifecycle, in_flight)?;
     start_peer_tasks(table, settings, peer)?;
-    start_ports(table, settings, life, in_flight, [client, local, operator])
+    start_ports(
+        table,
+        settings,
+        lifecycle,
+        in_flight,
+        [client, local, operator],
+    )
 }
 
 fn open(settings: &Settings) -> Result<Sockets, Error> {
@@ -78,16 +84,18 @@
         client: open_port("client", ports.client)?,
         local: open_port("local", ports.local)?,
         operator: open_port("operator", ports.operator)?,
-        peer: TcpListener::bind(ports.peer).map_err(|error| failed("peer", ports.peer, error))?,
-        gossip: UdpSocket::bind(ports.peer).map_err(|error| failed("peer", ports.peer, error))?,
+        peer: TcpListener::bind(ports.peer)
+            .map_err(|error| port_error("peer", ports.peer, error))?,
+        gossip: UdpSocket::bind(ports.peer)
+            .map_err(|error| port_error("peer", ports.peer, error))?,
     })
 }
 
 fn open_port(name: &'static str, address: SocketAddr) -> Result<Port, Error> {
-    Port::open(name, address, Limits::server()).map_err(|error| failed(name, address, error))
+    Port::open(name, address, Limits::server()).map_err(|error| port_error(name, address, error))
 }
 
-fn failed(port: &'static str, address: SocketAddr, error: std::io::Error) -> Error {
+fn port_error(port: &'static str, address: SocketAddr, error: std::io::Error) -> Error {
     Error::Port {
         port,
         address,
@@ -95,7 +103,7 @@
     }
 }
 
-/// Returns an incarnation that is higher than that of any earlier life.
+/// Returns an incarnation number that is higher than that of any earlier incarnation.
 fn new_incarnation() -> Incarnation {
     let random = rand::rng().random_range(0..1 << INCARNATION_RANDOM_BITS);
     Incarnation(Timestamp::now().0 << INCARNATION_RANDOM_BITS | random)
@@ -103,7 +111,7 @@
 
 fn install_state(table: &Table, settings: &Settings) {
     let identity = &settings.identity;
-    let rules = settings.rules;
+    let tuning = settings.tuning;
     let incarnation = new_incarnation();
     table.install(Metrics::new());
     table.install(Burn::default());
@@ -112,16 +120,16 @@
     table.install(Upstream::default());
     table.install(Downstream::default());
     table.install(Windows::default());
-    table.install(Admission::new(rules.admission, Instant::now()));
-    table.install(Ratios::new(rules.retry_ratio));
+    table.install(Admission::new(tuning.admission, Instant::now()));
+    table.install(Limiter::new(tuning.retry_ratio));
     table.install(Unknowns::new(identity.name.clone()));
     table.install(Platform::new(
         settings.platform.address,
         settings.ports.peer.ip(),
     ));
     let tickets = Tickets::builder(identity.name.clone(), incarnation)
-        .life(rules.ticket_life.0)
-        .memory(rules.ticket_memory);
+        .lifetime(tuning.ticket_lifetime.0)
+        .memory(tuning.ticket_memory);
     table.install(tickets.build());
     table.install(Membership::new(Member {
         node: identity.name.to_string(),
@@ -144,7 +152,7 @@
         Rc::clone(&metrics),
     ));
     table.install(Gossip::new(
-        settings.watch,
+        settings.detector,
         socket,
         membership,
         table.find()?,
@@ -160,13 +168,13 @@
 fn install_decisions(
     table: &Table,
     settings: &Settings,
-    life: &Lifecycle<Joining>,
+    lifecycle: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
 ) -> Result<(), Error> {
-    let policy = settings.rules.admission.policy;
+    let policy = settings.tuning.admission.policy;
     table.install(Executor {
         policy,
-        phase: life.phase(),
+        phase: lifecycle.phase(),
         admission: table.find()?,
         windows: table.find()?,
         downstream: table.find()?,
@@ -175,7 +183,7 @@
         tickets: table.find()?,
         metrics: table.find()?,
         in_flight: Rc::clone(in_flight),
-        refused_leaving: Cell::default(),
+        last_draining_refusal: Cell::default(),
     });
     table.install(Routing {
         policy,
@@ -194,23 +202,23 @@
         routing: table.find()?,
         peers: table.find()?,
         executor: table.find()?,
-        ratios: table.find()?,
+        retry_limiter: table.find()?,
         tickets: table.find()?,
         unknowns: table.find()?,
         metrics: table.find()?,
         burn: table.find()?,
     });
-    table.install(Entrance::new(table.find()?, table.find()?, table.find()?));
+    table.install(Accountant::new(table.find()?, table.find()?, table.find()?));
     table.install(PeerAcceptor {
         membership: table.find()?,
         configuration: table.find()?,
         executor: table.find()?,
-        entrance: table.find()?,
+        accountant: table.find()?,
         tickets: table.find()?,
     });
-    table.install(Duties {
+    table.install(Maintenance {
         identity: settings.identity.clone(),
-        phase: life.phase(),
+        phase: lifecycle.phase(),
         renew: settings.platform.renew.0,
         advertise: settings.ports.advertise,
         seeds: settings.seeds.clone(),
@@ -235,17 +243,20 @@
     let peers = table.find::<Peers>()?;
     task::spawn("peer port", table.find::<PeerAcceptor>()?.accept(listener));
     task::spawn("gossip", Rc::clone(&gossip).receive());
-    let lost = Rc::clone(&peers);
-    let probe = Rc::clone(&gossip).probe(move |peer| lost.drop_link(&peer.name));
+    let links = Rc::clone(&peers);
+    let probe = Rc::clone(&gossip).probe(move |peer| links.disconnect(&peer.name));
     task::spawn("probe", probe);
     start_configuration_tasks(table, settings, gossip, peers)?;
-    let duties = table.find::<Duties>()?;
-    task::spawn("refresh", Rc::clone(&duties).keep_refreshing());
-    task::spawn("renewal", Rc::clone(&duties).keep_renewing());
-    task::spawn("discovery", Rc::clone(&duties).keep_discovering());
-    task::spawn("seeds", Rc::clone(&duties).keep_asking_seeds());
-    task::spawn("preparation", Rc::clone(&duties).keep_preparing());
-    task::spawn("unknown outcomes", duties.keep_saving_unknowns());
+    let maintenance = table.find::<Maintenance>()?;
+    task::spawn("refresh", Rc::clone(&maintenance).run_refresh());
+    task::spawn("renewal", Rc::clone(&maintenance).run_renewal());
+    task::spawn("discovery", Rc::clone(&maintenance).run_discovery());
+    task::spawn("seeds", Rc::clone(&maintenance).run_seed_pings());
+    task::spawn(
+        "preparation",
+        Rc::clone(&maintenance).run_event_preparation(),
+    );
+    task::spawn("unknown outcomes", maintenance.run_unknown_saving());
     Ok(())
 }
 
@@ -256,49 +267,49 @@
     peers: Rc<Peers>,
 ) -> Result<(), Error> {
     let configuration = table.find::<Configuration>()?;
-    let (sender, heard) = mpsc::channel(HEARD_CAPACITY);
-    configuration.report_to(sender);
+    let (sender, newer_versions) = mpsc::channel(NEWER_VERSIONS_CAPACITY);
+    configuration.send_newer_to(sender);
     let admission = table.find::<Admission>()?;
     let upstream = table.find::<Upstream>()?;
     let identity = settings.identity.clone();
-    configuration.listen(move |version| {
+    configuration.on_change(move |version| {
         let declaration = &version.declaration;
         admission.declare_limit(declaration.limit(&identity.service));
         upstream.set_drained(declaration.drained.contains(&identity.name));
     });
-    let spreader = Rc::new(Spreader {
+    let fetcher = Rc::new(Fetcher {
         configuration,
         platform: table.find()?,
         peers,
         gossip,
         poll: settings.platform.poll.0,
     });
-    task::spawn("configuration poll", Rc::clone(&spreader).poll());
-    task::spawn("configuration fetch", spreader.fetch(heard));
+    task::spawn("configuration poll", Rc::clone(&fetcher).poll());
+    task::spawn("configuration fetch", fetcher.fetch(newer_versions));
     Ok(())
 }
 
 fn start_ports(
     table: &Rc<Table>,
     settings: &Settings,
-    life: &Lifecycle<Joining>,
+    lifecycle: &Lifecycle<Joining>,
     in_flight: &Rc<Cell<usize>>,
     [client, local, operator]: [Port; 3],
 ) -> Result<(), Error> {
     let client_port = Rc::new(ClientPort {
-        policy: settings.rules.admission.policy,
-        phase: life.phase(),
+        policy: settings.tuning.admission.policy,
+        phase: lifecycle.phase(),
         configuration: table.find()?,
         dispatcher: table.find()?,
-        entrance: table.find()?,
+        accountant: table.find()?,
         routing: table.find()?,
         tickets: table.find()?,
         platform: table.find()?,
         in_flight: Rc::clone(in_flight),
     });
-    let duties = table.find::<Duties>()?;
+    let maintenance = table.find::<Maintenance>()?;
     let local_port = Rc::new(LocalPort {
-        policy: settings.rules.admission.policy,
+        policy: settings.tuning.admission.policy,
         identity: settings.identity.clone(),
         configuration: table.find()?,
         contexts: table.find()?,
@@ -306,13 +317,13 @@
         upstream: table.find()?,
         admission: table.find()?,
         in_flight: Rc::clone(in_flight),
-        announced: Box::new(move || {
-            let duties = Rc::clone(&duties);
-            task::spawn("announcement", async move { duties.refresh().await });
+        on_announcement: Box::new(move || {
+            let maintenance = Rc::clone(&maintenance);
+            task::spawn("announcement", async move { maintenance.refresh().await });
         }),
     });
-    let answers = table.install(operator_service(table, settings, life)?);
-    let operator_port = Rc::new(OperatorPort { operator: answers });
+    let service = table.install(operator_service(table, settings, lifecycle)?);
+    let operator_port = Rc::new(OperatorPort { operator: service });
     task::spawn("client port", serve(client, client_port));
     task::spawn("local port", serve(local, local_port));
     task::spawn("operator port", serve(operator, operator_port));
@@ -322,11 +333,11 @@
 fn operator_service(
     table: &Table,
     settings: &Settings,
-    life: &Lifecycle<Joining>,
+    lifecycle: &Lifecycle<Joining>,
 ) -> Result<Operator, Error> {
     Ok(Operator {
         identity: settings.identity.clone(),
-        phase: life.phase(),
+        phase: lifecycle.phase(),
         configuration: table.find()?,
         acceptor: table.find()?,
         platform: table.find()?,
@@ -340,6 +351,6 @@
         upstream: table.find()?,
         metrics: table.find()?,
         burn: table.find()?,
-        entrance: table.find()?,
+        accountant: table.find()?,
     })
 }
--- a/crates/node/src/peer/accept.rs
+++ b/crates/node/src/peer/accept.rs
@@ -1,4 +1,4 @@
-//! Serves the connections of other nodes, one task for each connection and each call.
+//! Serves connections from other nodes, with one task for each connection and each call.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,29 +19,29 @@
 use sailtrack_net::task;
 use sailtrack_wire::{Body, Call as CallMessage, Chunk, Config, Fetch, Handover, Reason};
 
+use crate::accountant::Accountant;
 use crate::call::{Answer, Call};
 use crate::configuration::Configuration;
-use crate::entrance::Entrance;
 use crate::execute::Executor;
 use crate::membership::Membership;
-use crate::peer::assembly::CHUNK;
 use crate::peer::convert::{answer_to_wire, call_from_wire, part_from_wire};
+use crate::peer::reassembly::CHUNK_SIZE;
 use crate::ticket::Tickets;
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
-/// How long a new connection may take to say hello.
-const HELLO_TIME: Duration = Duration::from_secs(2);
-/// The most calls open at once on one connection.
+/// Time limit for the hello on a new connection.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit on the open calls of one connection.
 const MAX_OPEN_CALLS: usize = 4096;
-/// The most connections open at once.
+/// Limit on open connections.
 const MAX_CONNECTIONS: usize = 2048;
 
-/// Serves the connections of other nodes.
+/// Serves connections from other nodes.
 pub(crate) struct Acceptor {
     pub(crate) membership: Rc<Membership>,
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) executor: Rc<Executor>,
-    pub(crate) entrance: Rc<Entrance>,
+    pub(crate) accountant: Rc<Accountant>,
     pub(crate) tickets: Rc<Tickets>,
 }
 
@@ -49,11 +49,11 @@
     const NAME: &'static str = "peer-acceptor";
 }
 
-/// The calls that are open on one connection.
+/// The open calls of one connection.
 type OpenCalls = Rc<RefCell<HashMap<u64, AbortHandle>>>;
 
 impl Acceptor {
-    /// Accepts connections for as long as the task lives.
+    /// Accepts connections until the task ends.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let bounds = Bounds {
             port: "peer",
@@ -71,12 +71,12 @@
         let (read, write) = stream.into_split();
         let (mut outgoing, frames) = mpsc::channel(OUTGOING_CAPACITY);
         task::spawn("peer writer", async move {
-            // The reading side ends the connection when writing fails.
+            // The reading side closes the connection if writing fails.
             let _ = write_frames(write, frames).await;
         });
         let mut reader = FrameReader::new(read);
-        let said = timeout(HELLO_TIME, reader.hello()).await;
-        let Ok(Ok(_)) = said else {
+        let greeting = timeout(HELLO_TIMEOUT, reader.hello()).await;
+        let Ok(Ok(_)) = greeting else {
             let reason = "no hello of this version";
             emit(
                 &catalogue::INPUT_REFUSED,
@@ -84,7 +84,11 @@
             );
             return;
         };
-        if outgoing.send(hello(self.membership.me())).await.is_err() {
+        if outgoing
+            .send(hello(self.membership.local_member()))
+            .await
+            .is_err()
+        {
             return;
         }
         let open = OpenCalls::default();
@@ -108,21 +112,22 @@
     ) -> Result<(), ConnectionError> {
         loop {
             match reader.next().await? {
-                Body::Call(message) => self.start(message, outgoing, open),
+                Body::Call(message) => self.start_call(message, outgoing, open),
                 Body::Cancel(cancel) => {
                     if let Some(call) = open.borrow_mut().remove(&cancel.exchange) {
                         call.abort();
                     }
                 }
-                Body::Fetch(fetch) => self.give_config(fetch, outgoing),
-                Body::Handover(handover) => self.receive(handover, outgoing),
-                // Everything else is for the other direction or for the port of sailtrack-mesh.
+                Body::Fetch(fetch) => self.send_config(fetch, outgoing),
+                Body::Handover(handover) => self.receive_handover(handover, outgoing),
+                // The other messages are for the opposite direction or for the peer port of
+                // sailtrack-mesh.
                 _ => {}
             }
         }
     }
 
-    fn start(
+    fn start_call(
         self: &Rc<Self>,
         message: CallMessage,
         outgoing: &mpsc::Sender<Body>,
@@ -140,7 +145,7 @@
                 let answer = acceptor.answer(message, too_many).await;
                 send_answer(&mut outgoing, exchange, answer).await;
             };
-            // An aborted call was cancelled and needs no answer.
+            // An aborted call was cancelled by the caller and needs no answer.
             let _ = Abortable::new(work, registration).await;
             open.borrow_mut().remove(&exchange);
         });
@@ -152,36 +157,37 @@
         }
         let entry = message.entry;
         match call_from_wire(message) {
-            Ok(call) if entry => self.enter(call).await,
+            Ok(call) if entry => self.account(call).await,
             Ok(call) => self.executor.execute(call).await,
             Err(_) => Answer::not_run(Reason::Undeclared),
         }
     }
 
-    /// Accounts for a client's request, which is repeated as its kind is declared here.
-    async fn enter(&self, call: Call) -> Answer {
+    /// Accounts for a client's request; this node's declaration decides whether its kind may be
+    /// retried.
+    async fn account(&self, call: Call) -> Answer {
         let current = self.configuration.current();
         let kind = current.declaration.kind(&call.kind);
         let repeat = kind.map_or(call.repeat, |kind| kind.repeat);
-        self.entrance.account(Call { repeat, ..call }).await
+        self.accountant.account(Call { repeat, ..call }).await
     }
 
-    /// Takes in what a node hands over, and says whether there was room.
-    fn receive(&self, handover: Handover, outgoing: &mpsc::Sender<Body>) {
+    /// Stores a part of a handover and reports whether there was enough memory.
+    fn receive_handover(&self, handover: Handover, outgoing: &mpsc::Sender<Body>) {
         let exchange = handover.exchange;
         let part = part_from_wire(handover);
-        let taken = part.is_ok_and(|part| self.tickets.receive(part, Instant::now()));
-        let answer = if taken {
+        let accepted = part.is_ok_and(|part| self.tickets.receive(part, Instant::now()));
+        let answer = if accepted {
             Answer::done(StatusCode::OK.as_u16(), String::new(), Bytes::new())
         } else {
             Answer::not_run(Reason::RecordsFull)
         };
         let head = answer_to_wire(exchange, &answer);
-        // Without an answer the other side takes it for not taken.
+        // Without an answer the other side treats the part as refused.
         let _ = outgoing.clone().try_send(Body::Answer(head));
     }
 
-    fn give_config(&self, fetch: Fetch, outgoing: &mpsc::Sender<Body>) {
+    fn send_config(&self, fetch: Fetch, outgoing: &mpsc::Sender<Body>) {
         let current = self.configuration.current();
         if current.number.0 <= fetch.version {
             return;
@@ -191,21 +197,21 @@
             version: current.number.0,
             text,
         };
-        // A full channel only delays the fetch to the next news.
+        // If the channel is full, the peer fetches again at the next report of a newer version.
         let _ = outgoing.clone().try_send(Body::Config(config));
     }
 }
 
-/// Sends an answer, a long body in chunks so that others are not held up.
+/// Sends an answer; a long body goes in chunks so that it does not delay other answers.
 async fn send_answer(outgoing: &mut mpsc::Sender<Body>, exchange: u64, answer: Answer) {
     let mut head = answer_to_wire(exchange, &answer);
     let mut rest = answer.body;
-    head.body = rest.split_to(rest.len().min(CHUNK));
+    head.body = rest.split_to(rest.len().min(CHUNK_SIZE));
     if outgoing.send(Body::Answer(head)).await.is_err() {
         return;
     }
     while !rest.is_empty() {
-        let data = rest.split_to(rest.len().min(CHUNK));
+        let data = rest.split_to(rest.len().min(CHUNK_SIZE));
         let chunk = Chunk {
             exchange,
             data,
--- a/crates/node/src/peer/link.rs
+++ b/crates/node/src/peer/link.rs
@@ -19,15 +19,15 @@
 use crate::call::{Answer, Call};
 use crate::membership::Peer;
 use crate::metrics::Metrics;
-use crate::peer::assembly::Assembly;
 use crate::peer::convert::{call_to_wire, part_to_wire};
+use crate::peer::reassembly::Reassembly;
 use crate::ticket::Part;
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 
-/// How long opening a connection may take.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Time limit for connecting, and again for the hello.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where a connection is in its life.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Opening,
@@ -42,14 +42,14 @@
     opened: Shared<oneshot::Receiver<()>>,
     outgoing: RefCell<Option<mpsc::Sender<Body>>>,
     pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
-    assembling: RefCell<HashMap<u64, Assembly>>,
-    fetching: RefCell<Vec<oneshot::Sender<Config>>>,
+    reassembling: RefCell<HashMap<u64, Reassembly>>,
+    pending_fetches: RefCell<Vec<oneshot::Sender<Config>>>,
     next_exchange: Cell<u64>,
     metrics: Rc<Metrics>,
 }
 
 impl Link {
-    /// Starts to open a connection; [`Link::ready`] says when that has ended.
+    /// Starts opening a connection; [`Link::ready`] waits for the result.
     pub(crate) fn open(
         peer: Rc<Peer>,
         source: IpAddr,
@@ -64,15 +64,15 @@
             opened: ready.shared(),
             outgoing: RefCell::new(Some(outgoing)),
             pending: RefCell::default(),
-            assembling: RefCell::default(),
-            fetching: RefCell::default(),
+            reassembling: RefCell::default(),
+            pending_fetches: RefCell::default(),
             next_exchange: Cell::new(1),
             metrics,
         });
         let task_link = Rc::clone(&link);
         task::spawn("peer link", async move {
             let result = task_link.run(source, member, frames, opened).await;
-            task_link.end(result.err());
+            task_link.finish(result.err());
         });
         link
     }
@@ -86,8 +86,8 @@
         self.is_open()
     }
 
-    /// Returns true if the link leads to this life of the peer at this address.
-    pub(crate) fn leads_to(&self, peer: &Peer) -> bool {
+    /// Returns true if the link connects to this incarnation of the peer at this address.
+    pub(crate) fn is_for(&self, peer: &Peer) -> bool {
         self.peer.incarnation == peer.incarnation && self.peer.address == peer.address
     }
 
@@ -101,19 +101,19 @@
         self.stage.get() == Stage::Open
     }
 
-    /// Closes the link; calls without an answer end with an unknown outcome.
+    /// Closes the link; the outcome of unanswered calls is unknown.
     pub(crate) fn close(&self) {
         self.stage.set(Stage::Closed);
         *self.outgoing.borrow_mut() = None;
         self.pending.borrow_mut().clear();
-        self.fetching.borrow_mut().clear();
+        self.pending_fetches.borrow_mut().clear();
     }
 
     /// Sends a call and waits for its answer; dropping the future cancels the call.
     ///
-    /// `entry` asks the other node to account for the request of a client.
+    /// `entry` asks the other node to account for a client's request.
     pub(crate) async fn call(&self, call: &Call, entry: bool) -> Answer {
-        let (exchange, receiver) = self.begin();
+        let (exchange, receiver) = self.open_exchange();
         let guard = CancelGuard {
             link: self,
             exchange,
@@ -131,8 +131,8 @@
         })
     }
 
-    /// Opens an exchange whose answer comes through the receiver.
-    fn begin(&self) -> (u64, oneshot::Receiver<Answer>) {
+    /// Opens an exchange, whose answer arrives at the receiver.
+    fn open_exchange(&self) -> (u64, oneshot::Receiver<Answer>) {
         let exchange = self.next_exchange.get();
         self.next_exchange.set(exchange + 1);
         let (sender, receiver) = oneshot::channel();
@@ -140,9 +140,9 @@
         (exchange, receiver)
     }
 
-    /// Hands over a part of what is known about this life's tickets; returns true if it was taken.
+    /// Sends a part of a handover; returns true if it was accepted.
     pub(crate) async fn hand_over(&self, part: &Part) -> bool {
-        let (exchange, receiver) = self.begin();
+        let (exchange, receiver) = self.open_exchange();
         if !self.send(Body::Handover(part_to_wire(exchange, part))) {
             return false;
         }
@@ -150,10 +150,10 @@
         answer.is_ok_and(|answer| answer.outcome == Outcome::Done)
     }
 
-    /// Asks for the configuration if it is above `version`.
+    /// Requests the configuration if its version is above `version`.
     pub(crate) async fn fetch(&self, version: ConfigVersion) -> Option<Config> {
         let (sender, receiver) = oneshot::channel();
-        self.fetching.borrow_mut().push(sender);
+        self.pending_fetches.borrow_mut().push(sender);
         if !self.send(Body::Fetch(Fetch { version: version.0 })) {
             return None;
         }
@@ -176,7 +176,7 @@
         frames: mpsc::Receiver<Body>,
         opened: oneshot::Sender<()>,
     ) -> Result<(), ConnectionError> {
-        let dialed = dial(self.peer.address, Some(source), CONNECT_TIME)
+        let dialed = dial(self.peer.address, Some(source), CONNECT_TIMEOUT)
             .await
             .map_err(ConnectionError::Dial)?;
         let (read, write) = dialed.stream.into_split();
@@ -189,19 +189,20 @@
         }
     }
 
-    /// Waits for the other side's hello, which shows that it can be reached, and tells it.
-    async fn greet(
+    /// Waits for the hello of the other side, which shows that it is reachable, and reports the
+    /// link as open.
+    async fn await_hello(
         &self,
         reader: &mut FrameReader,
         opened: oneshot::Sender<()>,
     ) -> Result<(), ConnectionError> {
-        match timeout(CONNECT_TIME, reader.hello()).await {
+        match timeout(CONNECT_TIMEOUT, reader.hello()).await {
             Err(_) => return Err(ConnectionError::Dial(DialError::Timeout)),
             Ok(hello) => hello?,
         };
         self.stage.set(Stage::Open);
         emit(&catalogue::PEER_CONNECTED, &[("node", &self.peer.name)]);
-        // Nobody may be waiting any more.
+        // The waiters may have disconnected.
         let _ = opened.send(());
         Ok(())
     }
@@ -211,65 +212,65 @@
         mut reader: FrameReader,
         opened: oneshot::Sender<()>,
     ) -> Result<(), ConnectionError> {
-        self.greet(&mut reader, opened).await?;
+        self.await_hello(&mut reader, opened).await?;
         loop {
             match reader.next().await? {
-                Body::Answer(answer) => self.take_head(answer),
-                Body::Chunk(chunk) => self.take_chunk(chunk.exchange, &chunk.data),
-                Body::Config(config) => self.take_config(&config),
-                // Everything else is for the other direction or for the port of sailtrack-mesh.
+                Body::Answer(answer) => self.handle_answer(answer),
+                Body::Chunk(chunk) => self.handle_chunk(chunk.exchange, &chunk.data),
+                Body::Config(config) => self.handle_config(&config),
+                // The other messages are for the opposite direction or for the peer port of sailtrack-mesh.
                 _ => {}
             }
         }
     }
 
-    /// Takes the head of an answer; one that nobody waits for is dropped.
-    fn take_head(&self, head: sailtrack_wire::Answer) {
+    /// Processes the head of an answer; one without a waiting caller is dropped.
+    fn handle_answer(&self, head: sailtrack_wire::Answer) {
         let exchange = head.exchange;
         if !self.pending.borrow().contains_key(&exchange) {
             return;
         }
-        match Assembly::new(head) {
-            Some(assembly) if assembly.is_whole() => self.give(exchange, assembly.finish()),
-            Some(assembly) => {
-                self.assembling.borrow_mut().insert(exchange, assembly);
+        match Reassembly::new(head) {
+            Some(partial) if partial.is_complete() => self.complete(exchange, partial.finish()),
+            Some(partial) => {
+                self.reassembling.borrow_mut().insert(exchange, partial);
             }
-            None => self.give(exchange, Answer::unknown(Reason::AnswerTooLarge)),
+            None => self.complete(exchange, Answer::unknown(Reason::AnswerTooLarge)),
         }
     }
 
-    fn take_chunk(&self, exchange: u64, data: &bytes::Bytes) {
-        let Some(mut assembly) = self.assembling.borrow_mut().remove(&exchange) else {
+    fn handle_chunk(&self, exchange: u64, data: &bytes::Bytes) {
+        let Some(mut reassembly) = self.reassembling.borrow_mut().remove(&exchange) else {
             return;
         };
-        if !assembly.add(data) {
-            self.give(exchange, Answer::unknown(Reason::AnswerTooLarge));
-        } else if assembly.is_whole() {
-            self.give(exchange, assembly.finish());
+        if !reassembly.append(data) {
+            self.complete(exchange, Answer::unknown(Reason::AnswerTooLarge));
+        } else if reassembly.is_complete() {
+            self.complete(exchange, reassembly.finish());
         } else {
-            self.assembling.borrow_mut().insert(exchange, assembly);
+            self.reassembling.borrow_mut().insert(exchange, reassembly);
         }
     }
 
-    fn give(&self, exchange: u64, answer: Answer) {
-        if let Some(waiting) = self.pending.borrow_mut().remove(&exchange) {
-            // The caller may have left.
-            let _ = waiting.send(answer);
+    fn complete(&self, exchange: u64, answer: Answer) {
+        if let Some(waiter) = self.pending.borrow_mut().remove(&exchange) {
+            // The caller may have disconnected.
+            let _ = waiter.send(answer);
         }
     }
 
-    fn take_config(&self, config: &Config) {
-        for waiting in self.fetching.borrow_mut().drain(..) {
+    fn handle_config(&self, config: &Config) {
+        for waiter in self.pending_fetches.borrow_mut().drain(..) {
             // The fetch may have timed out.
-            let _ = waiting.send(config.clone());
+            let _ = waiter.send(config.clone());
         }
     }
 
-    fn end(&self, error: Option<ConnectionError>) {
+    fn finish(&self, error: Option<ConnectionError>) {
         let was_open = self.stage.get() == Stage::Open;
         self.close();
         if let (true, Some(error)) = (was_open, error) {
-            self.metrics.note_peer_lost();
+            self.metrics.record_peer_lost();
             emit(
                 &catalogue::PEER_LOST,
                 &[("node", &self.peer.name), ("reason", &error)],
@@ -278,7 +279,7 @@
     }
 }
 
-/// Cancels a call whose caller stops waiting before the answer has come.
+/// Cancels a call if its caller stops waiting before the answer arrives.
 struct CancelGuard<'a> {
     link: &'a Link,
     exchange: u64,
@@ -286,9 +287,9 @@
 
 impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        let waited = self.link.pending.borrow_mut().remove(&self.exchange);
-        self.link.assembling.borrow_mut().remove(&self.exchange);
-        if waited.is_some() {
+        let was_pending = self.link.pending.borrow_mut().remove(&self.exchange);
+        self.link.reassembling.borrow_mut().remove(&self.exchange);
+        if was_pending.is_some() {
             self.link.send(Body::Cancel(Cancel {
                 exchange: self.exchange,
             }));
--- a/crates/node/src/peer/mod.rs
+++ b/crates/node/src/peer/mod.rs
@@ -1,9 +1,9 @@
-//! Calls to other nodes, over one connection to each.
+//! Connections to other nodes, one each, and the calls over them.
 
 mod accept;
-mod assembly;
 mod convert;
 mod link;
+mod reassembly;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,9 +24,9 @@
 use crate::metrics::Metrics;
 use crate::ticket::Part;
 
-/// How long fetching a configuration may take.
-const FETCH_TIME: Duration = Duration::from_secs(1);
-/// How much longer than the callee's deadline an answer is waited for.
+/// Time limit for fetching a configuration.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long an answer is awaited beyond the call's deadline.
 const ANSWER_GRACE: Duration = Duration::from_millis(50);
 
 /// The connections to other nodes.
@@ -53,12 +53,12 @@
 
     /// Sends a call to another node and returns its answer.
     ///
-    /// Without an answer the outcome is unknown, unless nothing can have been sent.
+    /// If no answer arrives, the outcome is unknown, unless the call certainly was not sent.
     pub(crate) async fn call(&self, peer: &Rc<Peer>, call: &Call) -> Answer {
         self.send(peer, call, false).await
     }
 
-    /// Sends a client's request to the node that accounts for it and returns its answer.
+    /// Sends a client's request to the node that accounts for its retries and returns the answer.
     pub(crate) async fn call_entry(&self, peer: &Rc<Peer>, call: &Call) -> Answer {
         self.send(peer, call, true).await
     }
@@ -67,8 +67,8 @@
         let Some(link) = self.link(peer).await else {
             return Answer::not_run(Reason::Connection);
         };
-        let patience = call.time_left() + ANSWER_GRACE;
-        match timeout(patience, link.call(call, entry)).await {
+        let max_wait = call.time_left() + ANSWER_GRACE;
+        match timeout(max_wait, link.call(call, entry)).await {
             Ok(answer) => answer,
             Err(_) => Answer {
                 used: call.allowance,
@@ -80,11 +80,10 @@
     /// Returns the configuration of a peer if it is above `version`.
     pub(crate) async fn fetch(&self, peer: &Peer, version: ConfigVersion) -> Option<Config> {
         let link = self.link(&Rc::new(peer.clone())).await?;
-        timeout(FETCH_TIME, link.fetch(version)).await.ok()?
+        timeout(FETCH_TIMEOUT, link.fetch(version)).await.ok()?
     }
 
-    /// Hands over a part of what is known about this life's tickets to a peer; returns true if it
-    /// took it.
+    /// Sends a part of a handover to a peer; returns true if it was accepted.
     pub(crate) async fn hand_over(&self, peer: &Rc<Peer>, part: &Part) -> bool {
         match self.link(peer).await {
             Some(link) => link.hand_over(part).await,
@@ -92,19 +91,19 @@
         }
     }
 
-    /// Opens a connection before it is needed.
-    pub(crate) async fn warm(&self, peer: &Rc<Peer>) {
+    /// Opens a connection in advance.
+    pub(crate) async fn preconnect(&self, peer: &Rc<Peer>) {
         self.link(peer).await;
     }
 
-    /// Closes the connection to a node that is held for dead.
-    pub(crate) fn drop_link(&self, name: &NodeName) {
+    /// Closes the connection to a node considered dead.
+    pub(crate) fn disconnect(&self, name: &NodeName) {
         if let Some(link) = self.links.borrow_mut().remove(name) {
             link.close();
         }
     }
 
-    /// Returns how many connections to other nodes are open.
+    /// Returns the number of open connections to other nodes.
     pub(crate) fn count(&self) -> usize {
         let links = self.links.borrow();
         links.values().filter(|link| link.is_open()).count()
@@ -113,12 +112,12 @@
     async fn link(&self, peer: &Rc<Peer>) -> Option<Rc<Link>> {
         let known = self.links.borrow().get(&peer.name).cloned();
         if let Some(link) = known {
-            if link.leads_to(peer) && link.is_usable() {
+            if link.is_for(peer) && link.is_usable() {
                 return link.ready().await.then_some(link);
             }
             link.close();
         }
-        let hello = self.membership.me();
+        let hello = self.membership.local_member();
         let link = Link::open(
             Rc::clone(peer),
             self.source,
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -1,8 +1,7 @@
-//! The platform's table service, reached by HTTP.
+//! The client of the platform's table service, over HTTP.
 //!
-//! No ordinary call waits for it. It keeps the accepted configuration, a row
-//! for each node as first contact, claims of idempotency keys and unknown
-//! outcomes.
+//! No ordinary call depends on it. It stores the accepted configuration, a row for each node as
+//! first contact, claims of idempotency keys, unknown outcomes and their settlements.
 
 mod backoff;
 mod row;
@@ -23,14 +22,14 @@
 pub(crate) use backoff::Backoff;
 pub(crate) use row::{Row, Rows, Written};
 
-/// How long one operation may take.
-const OPERATION_TIME: Duration = Duration::from_secs(1);
-/// The most unused connections to the platform.
+/// Time limit of one operation.
+const OPERATION_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limit on idle connections to the platform.
 const POOL_CAPACITY: usize = 4;
-/// Carries the version that a row must have for a write to take effect.
+/// Header with the version that a row must have for a write to take effect.
 const IF_VERSION: &str = "if-version";
 
-/// Why an operation on the platform gave no result.
+/// Why an operation on the platform failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub(crate) enum PlatformError {
     /// the platform refused the operation, it had no effect
@@ -55,21 +54,21 @@
     }
 }
 
-/// What a row must be like for a write to take effect.
+/// Precondition for a write to take effect.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Expect {
-    /// Nothing is expected.
-    Anything,
+pub(crate) enum Precondition {
+    /// No precondition.
+    Any,
     /// The row must not exist.
     Absent,
     /// The row must have this version.
     Version(u64),
 }
 
-/// The platform's table service.
+/// The client of the platform's table service.
 pub(crate) struct Platform {
     pool: Pool,
-    lost: Cell<bool>,
+    is_unreachable: Cell<bool>,
     operations: Cell<u64>,
 }
 
@@ -81,7 +80,7 @@
     pub(crate) fn new(address: SocketAddr, source: IpAddr) -> Self {
         Self {
             pool: Pool::new(address, Some(source), POOL_CAPACITY),
-            lost: Cell::new(false),
+            is_unreachable: Cell::new(false),
             operations: Cell::new(0),
         }
     }
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Returns the row if its version is above `version`.
+    /// Returns the row if its version is higher than `version`.
     pub(crate) async fn read_newer(
         &self,
         key: &str,
@@ -117,8 +116,8 @@
         self.scan_path(format!("/scan/{prefix}")).await
     }
 
-    /// Returns at most `limit` rows whose keys start with `prefix`, from the key `from` on.
-    pub(crate) async fn scan_some(
+    /// Returns at most `limit` rows whose keys start with `prefix`, starting at the key `from`.
+    pub(crate) async fn scan_page(
         &self,
         prefix: &str,
         from: &str,
@@ -137,18 +136,18 @@
         }
     }
 
-    /// Writes a row if it is as expected; says what stands there otherwise.
+    /// Writes a row if it meets the precondition; otherwise returns the current row.
     pub(crate) async fn write(
         &self,
         key: &str,
-        expect: Expect,
+        expect: Precondition,
         value: String,
     ) -> Result<Written, PlatformError> {
         let mut request = Request::new(Method::PUT, format!("/rows/{key}"), value);
         match expect {
-            Expect::Anything => {}
-            Expect::Absent => request = request.with(IF_VERSION, "0"),
-            Expect::Version(version) => {
+            Precondition::Any => {}
+            Precondition::Absent => request = request.with(IF_VERSION, "0"),
+            Precondition::Version(version) => {
                 request = request.with(IF_VERSION, &version.to_string());
             }
         }
@@ -170,22 +169,22 @@
         }
     }
 
-    /// Returns true if the last operation got an answer.
+    /// Returns true if the last operation got a response, whatever its status.
     pub(crate) fn is_reachable(&self) -> bool {
-        !self.lost.get()
+        !self.is_unreachable.get()
     }
 
-    /// Returns how many operations were tried.
+    /// Returns the number of operations attempted.
     pub(crate) fn operations(&self) -> u64 {
         self.operations.get()
     }
 
     async fn send(&self, request: Request) -> Result<Response, PlatformError> {
         self.operations.set(self.operations.get() + 1);
-        let deadline = Instant::now() + OPERATION_TIME;
+        let deadline = Instant::now() + OPERATION_TIMEOUT;
         let result = self.pool.exchange(request, deadline).await;
         let result = result.map_err(PlatformError::from);
-        self.note_result(result.as_ref().err().copied());
+        self.record_result(result.as_ref().err().copied());
         let response = result?;
         match response.status {
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
@@ -195,9 +194,9 @@
         }
     }
 
-    fn note_result(&self, error: Option<PlatformError>) {
-        let was_lost = self.lost.replace(error.is_some());
-        match (was_lost, error) {
+    fn record_result(&self, error: Option<PlatformError>) {
+        let was_unreachable = self.is_unreachable.replace(error.is_some());
+        match (was_unreachable, error) {
             (false, Some(error)) => emit(&catalogue::PLATFORM_LOST, &[("reason", &error)]),
             (true, None) => emit(&catalogue::PLATFORM_FOUND, &[]),
             _ => {}
--- a/crates/node/src/port/client.rs
+++ b/crates/node/src/port/client.rs
@@ -11,32 +11,32 @@
 use sailtrack_units::{RequestId, Ticket};
 use sailtrack_wire::{Outcome, Reason};
 
+use crate::accountant::Accountant;
 use crate::call::Answer;
 use crate::configuration::Configuration;
 use crate::dispatch::Dispatcher;
-use crate::entrance::Entrance;
 use crate::header;
 use crate::operator::{settled_key, verdict_of};
-use crate::platform::{Expect, Platform, PlatformError, Written};
-use crate::port::incoming::{Builder, Traits};
+use crate::platform::{Platform, PlatformError, Precondition, Written};
+use crate::port::incoming::{Builder, Profile};
 use crate::port::reply;
 use crate::retry::Budget;
 use crate::routing::{Routing, Target};
 use crate::ticket::Tickets;
 use sailtrack_admission::Policy;
 
-/// Where clients get tickets.
+/// The path at which clients get tickets.
 const TICKETS: &str = "/.sailtrack/tickets";
-/// How often a claim without an answer is tried again.
+/// Number of attempts to write a claim that gets no answer.
 const CLAIM_ATTEMPTS: u32 = 3;
 
-/// Answers clients.
+/// Handles the requests of clients.
 pub(crate) struct ClientPort {
     pub(crate) policy: Policy,
     pub(crate) phase: Rc<Cell<Phase>>,
     pub(crate) configuration: Rc<Configuration>,
     pub(crate) dispatcher: Rc<Dispatcher>,
-    pub(crate) entrance: Rc<Entrance>,
+    pub(crate) accountant: Rc<Accountant>,
     pub(crate) routing: Rc<Routing>,
     pub(crate) tickets: Rc<Tickets>,
     pub(crate) platform: Rc<Platform>,
@@ -45,9 +45,9 @@
 
 impl Handler for ClientPort {
     async fn handle(&self, request: Request) -> Response {
-        let held = Held::new(&self.in_flight);
+        let in_flight_guard = Held::new(&self.in_flight);
         let response = self.answer(request).await;
-        drop(held);
+        drop(in_flight_guard);
         response
     }
 
@@ -60,7 +60,7 @@
     async fn answer(&self, request: Request) -> Response {
         let current = self.configuration.current();
         if request.path == TICKETS {
-            return self.give_ticket(&request, &current.declaration);
+            return self.issue_ticket(&request, &current.declaration);
         }
         let kind = current
             .declaration
@@ -76,39 +76,40 @@
             Ok(ticket) => ticket,
             Err(response) => return *response,
         };
-        // Only its home can say of a ticketed request that it did not run.
-        if let (None, Some(reason)) = (&ticket, self.closed()) {
+        // Only the home node can tell that a request with a ticket did not run.
+        if let (None, Some(reason)) = (&ticket, self.unavailable_reason()) {
             return self.refuse(reason);
         }
         self.dispatch(request, &kind, ticket).await
     }
 
     async fn dispatch(&self, request: Request, kind: &Kind, ticket: Option<Ticket>) -> Response {
-        let traits = Traits::from(kind);
-        let (id, is_chosen) = request_id(&request);
-        let call = Builder::new(traits, kind.service.clone(), request)
+        let profile = Profile::from(kind);
+        let (id, is_client_chosen) = request_id(&request);
+        let call = Builder::new(profile, kind.service.clone(), request)
             .request(id)
             .ticket(ticket)
             .build();
         let ticket = call.ticket.clone();
-        let accounted = is_chosen && call.ticket.is_none() && self.policy == Policy::Adaptive;
-        let answer = if accounted {
-            self.entrance.request(call).await
+        let needs_accounting =
+            is_client_chosen && call.ticket.is_none() && self.policy == Policy::Adaptive;
+        let answer = if needs_accounting {
+            self.accountant.submit(call).await
         } else {
             let budget = Budget::new(call.allowance);
             self.dispatcher.dispatch(call, &budget).await
         };
         let answer = match ticket {
             Some(ticket) if answer.outcome == Outcome::Unknown => {
-                self.settled(&ticket, answer).await
+                self.apply_settlement(&ticket, answer).await
             }
             _ => answer,
         };
         reply::response(&answer).with(header::REQUEST, &id.to_string())
     }
 
-    /// Returns what an operator settled about a request that nobody else knows about.
-    async fn settled(&self, ticket: &Ticket, answer: Answer) -> Answer {
+    /// Returns what an operator settled, for a request whose outcome no node knows any more.
+    async fn apply_settlement(&self, ticket: &Ticket, answer: Answer) -> Answer {
         if !matches!(answer.reason, Reason::HomeGone | Reason::TicketExpired) {
             return answer;
         }
@@ -116,7 +117,7 @@
         let verdict = row.ok().flatten().and_then(|row| verdict_of(&row.value));
         match verdict.as_deref() {
             Some("done") => {
-                let text = "done: settled by an operator, the answer itself is not kept\n";
+                let text = "done: settled by an operator, the response itself is not kept\n";
                 Answer::done(
                     StatusCode::OK.as_u16(),
                     "text/plain".to_owned(),
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Returns why the node takes no requests at present.
-    fn closed(&self) -> Option<Reason> {
+    /// Returns why the node accepts no requests at present, if so.
+    fn unavailable_reason(&self) -> Option<Reason> {
         match self.phase.get() {
             Phase::Joining => Some(Reason::NotConfigured),
             Phase::Serving => None,
@@ -138,10 +139,16 @@
     }
 
     fn refuse(&self, reason: Reason) -> Response {
-        reply::response(&self.dispatcher.executor.later(Answer::not_run(reason)))
+        reply::response(
+            &self
+                .dispatcher
+                .executor
+                .retry_later(Answer::not_run(reason)),
+        )
     }
 
-    /// Returns the ticket of a non-idempotent request, or the refusal of one without.
+    /// Returns the ticket of a non-idempotent request, or a refusal if it has neither a ticket nor
+    /// an idempotency key.
     async fn ticket_of(
         &self,
         request: &Request,
@@ -160,7 +167,7 @@
             return self.claim(key, kind).await.map(Some);
         }
         let text = format!(
-            "{} runs at most once: get a ticket by POST {TICKETS} with {}, or bring {}",
+            "{} runs at most once: get a ticket by POST {TICKETS} with {}, or send {}",
             kind.name,
             header::KIND,
             header::IDEMPOTENCY_KEY
@@ -171,10 +178,10 @@
         )))
     }
 
-    /// Returns the one ticket that stands for a client's key, from the platform's table.
+    /// Returns the ticket that belongs to a client's idempotency key, from the platform's table.
     ///
-    /// Whoever writes the row first decides the ticket; a write whose answer is
-    /// lost is tried again and then meets its own row.
+    /// Whoever writes the row first determines the ticket; a write whose answer is lost is retried
+    /// and then finds its own row.
     async fn claim(&self, key: &str, kind: &Kind) -> Result<Ticket, Box<Response>> {
         let row = format!("claims/{}/{}", kind.name, RequestId::from_key(key));
         let Some(ticket) = self.mint(kind) else {
@@ -183,7 +190,7 @@
         for _ in 0..CLAIM_ATTEMPTS {
             let written = self
                 .platform
-                .write(&row, Expect::Absent, ticket.to_string())
+                .write(&row, Precondition::Absent, ticket.to_string())
                 .await;
             match written {
                 Ok(Written::Done(_)) => return Ok(ticket),
@@ -197,19 +204,23 @@
         Err(Box::new(self.unresolved()))
     }
 
-    /// Returns the answer for a key of which an earlier copy may have run.
+    /// Returns the answer if the ticket of a key cannot be determined: an earlier copy of the
+    /// request may have run.
     fn unresolved(&self) -> Response {
         let answer = Answer::unknown(Reason::Platform);
-        reply::response(&self.dispatcher.executor.later(answer))
+        reply::response(&self.dispatcher.executor.retry_later(answer))
     }
 
-    fn give_ticket(
+    fn issue_ticket(
         &self,
         request: &Request,
         declaration: &sailtrack_declaration::Declaration,
     ) -> Response {
         if request.method != Method::POST {
-            return reply::not_run(StatusCode::METHOD_NOT_ALLOWED, "tickets are got by POST");
+            return reply::not_run(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "tickets are issued by POST only",
+            );
         }
         let name = request
             .header(header::KIND)
@@ -219,7 +230,7 @@
             let text = format!("{} must name a declared kind", header::KIND);
             return reply::not_run(StatusCode::BAD_REQUEST, &text);
         };
-        if let Some(reason) = self.closed() {
+        if let Some(reason) = self.unavailable_reason() {
             return self.refuse(reason);
         }
         match self.mint(kind) {
@@ -229,7 +240,7 @@
         }
     }
 
-    /// Makes a ticket for a node that serves the kind at present.
+    /// Mints a ticket for a node that serves the kind at present.
     fn mint(&self, kind: &Kind) -> Option<Ticket> {
         match self.routing.choose_home(&kind.service) {
             Some(Target::Local) => Some(self.tickets.mint_here()),
--- a/crates/node/src/port/incoming.rs
+++ b/crates/node/src/port/incoming.rs
@@ -1,4 +1,4 @@
-//! What an HTTP request says about the call that it stands for.
+//! Converts HTTP requests to calls.
 
 use std::time::{Duration, Instant};
 
@@ -12,14 +12,14 @@
 use crate::context::Context;
 use crate::header;
 
-/// How long a call of an undeclared kind may take.
+/// Timeout of calls of undeclared kinds.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The name under which calls of undeclared kinds are counted.
+/// The kind name under which undeclared calls are counted.
 const UNDECLARED: &str = "undeclared";
 
-/// What is declared about a call, or assumed if nothing is.
+/// The declared properties of a call's kind, or defaults.
 #[derive(Debug, Clone)]
-pub(crate) struct Traits {
+pub(crate) struct Profile {
     pub(crate) name: KindName,
     pub(crate) repeat: Repeat,
     pub(crate) allowance: Allowance,
@@ -27,7 +27,7 @@
     pub(crate) timeout: Duration,
 }
 
-impl From<&Kind> for Traits {
+impl From<&Kind> for Profile {
     fn from(kind: &Kind) -> Self {
         Self {
             name: kind.name.clone(),
@@ -39,10 +39,10 @@
     }
 }
 
-impl Traits {
-    /// Returns what is assumed about a call of an undeclared kind: one attempt, shed first.
+impl Profile {
+    /// Returns the defaults for an undeclared kind: one attempt, shed first.
     ///
-    /// The name is a constant, so that nobody outside can make metrics grow.
+    /// The name is a constant, so that clients cannot create an unbounded number of metrics.
     pub(crate) fn undeclared() -> Option<Self> {
         Some(Self {
             name: UNDECLARED.parse().ok()?,
@@ -54,13 +54,14 @@
     }
 }
 
-/// Returns the deadline that a request asks for, or the one declared for its kind.
+/// Returns the deadline of a request: the requested timeout, limited by the one declared for its
+/// kind.
 fn deadline(request: &Request, declared: Duration) -> Instant {
-    let asked = request
+    let requested = request
         .header(header::TIMEOUT)
         .and_then(|millis| millis.parse().ok())
         .map(|millis| Period::from_millis(millis).0);
-    let time = asked.map_or(declared, |asked| asked.min(declared));
+    let time = requested.map_or(declared, |requested| requested.min(declared));
     Instant::now() + time
 }
 
@@ -72,27 +73,27 @@
         .to_owned()
 }
 
-/// Builds the call that an HTTP request stands for.
+/// Builds the call for an HTTP request.
 pub(crate) struct Builder {
     call: Call,
     importance: Importance,
 }
 
 impl Builder {
-    /// Starts with a call to a service that begins a root request of its own.
-    pub(crate) fn new(traits: Traits, service: ServiceName, request: Request) -> Self {
+    /// Starts with a call that is a root request of its own.
+    pub(crate) fn new(profile: Profile, service: ServiceName, request: Request) -> Self {
         let id = RequestId::draw(&mut rand::rng());
         let call = Call {
             request: id,
-            root_kind: traits.name.clone(),
-            kind: traits.name,
-            repeat: traits.repeat,
+            root_kind: profile.name.clone(),
+            kind: profile.name,
+            repeat: profile.repeat,
             service,
             method: request.method.clone(),
             path: request.path.clone(),
-            rank: Rank::new(traits.importance, id),
-            allowance: traits.allowance,
-            deadline: deadline(&request, traits.timeout),
+            rank: Rank::new(profile.importance, id),
+            allowance: profile.allowance,
+            deadline: deadline(&request, profile.timeout),
             ticket: None,
             depth: 0,
             content_type: content_type(&request),
@@ -100,11 +101,11 @@
         };
         Self {
             call,
-            importance: traits.importance,
+            importance: profile.importance,
         }
     }
 
-    /// Sets the id of the root request, and with it the place in the order of shedding.
+    /// Sets the id of the root request, which also determines its shedding rank.
     pub(crate) fn request(mut self, id: RequestId) -> Self {
         self.call.request = id;
         self.call.rank = Rank::new(self.importance, id);
@@ -117,8 +118,9 @@
         self
     }
 
-    /// Makes it a call for an execution, which gives it its root request and its last deadline.
-    pub(crate) fn within(mut self, context: &Context) -> Self {
+    /// Makes the call part of an execution: it takes over the root request and is limited by its
+    /// deadline.
+    pub(crate) fn for_execution(mut self, context: &Context) -> Self {
         self.call.request = context.request;
         self.call.root_kind = context.root_kind.clone();
         self.call.rank = context.rank;
--- a/crates/node/src/port/local.rs
+++ b/crates/node/src/port/local.rs
@@ -1,4 +1,4 @@
-//! The port for the own upstream: its announcements and the calls that it makes.
+//! The port for the upstream of this node: its announcements and the calls that it makes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use crate::context::{Context, Contexts, SharedAnswer, SubcallKey};
 use crate::dispatch::Dispatcher;
 use crate::header;
-use crate::port::incoming::{Builder, Traits};
+use crate::port::incoming::{Builder, Profile};
 use crate::port::reply;
 use crate::retry::Budget;
 use crate::upstream::{Announcement, Upstream};
@@ -28,10 +28,10 @@
 use sailtrack_admission::Policy;
 use sailtrack_settings::Identity;
 
-/// Where the upstream announces itself.
+/// The path at which the upstream announces itself.
 const ANNOUNCE: &str = "/.sailtrack/announce";
 
-/// Answers the own upstream.
+/// Handles the requests of the upstream of this node.
 pub(crate) struct LocalPort {
     pub(crate) policy: Policy,
     pub(crate) identity: Identity,
@@ -42,27 +42,27 @@
     pub(crate) admission: Rc<Admission>,
     pub(crate) in_flight: Rc<Cell<usize>>,
     /// Called after each announcement.
-    pub(crate) announced: Box<dyn Fn()>,
+    pub(crate) on_announcement: Box<dyn Fn()>,
 }
 
 impl Handler for LocalPort {
     async fn handle(&self, request: Request) -> Response {
         if request.path == ANNOUNCE {
-            return self.take_announcement(&request);
+            return self.handle_announcement(&request);
         }
-        let held = Held::new(&self.in_flight);
-        let response = self.take_call(request).await;
-        drop(held);
+        let in_flight_guard = Held::new(&self.in_flight);
+        let response = self.handle_call(request).await;
+        drop(in_flight_guard);
         response
     }
 }
 
 impl LocalPort {
-    fn take_announcement(&self, request: &Request) -> Response {
+    fn handle_announcement(&self, request: &Request) -> Response {
         let announcement: Announcement = match serde_json::from_slice(&request.body) {
             Ok(announcement) => announcement,
             Err(error) => {
-                let text = format!("the announcement is not sound: {error}");
+                let text = format!("invalid announcement: {error}");
                 return Response::text(StatusCode::BAD_REQUEST, text);
             }
         };
@@ -70,17 +70,17 @@
         let slots = announcement.slots;
         if self.upstream.announce(announcement, now) {
             self.admission.reset(now, slots);
-            let shown = slots.unwrap_or(0);
+            let slot_count = slots.unwrap_or(0);
             emit(
                 &catalogue::UPSTREAM_ANNOUNCED,
-                &[("service", &self.identity.service), ("slots", &shown)],
+                &[("service", &self.identity.service), ("slots", &slot_count)],
             );
         }
-        (self.announced)();
+        (self.on_announcement)();
         Response::new(StatusCode::NO_CONTENT, "")
     }
 
-    async fn take_call(&self, request: Request) -> Response {
+    async fn handle_call(&self, request: Request) -> Response {
         let service = request
             .header(header::SERVICE)
             .map(str::parse::<ServiceName>);
@@ -91,81 +91,92 @@
         let token = request.header(header::CONTEXT);
         let context = token.map(|token| self.contexts.find(token));
         match context {
-            // The caller of this execution has left, so more work for it is wasted.
+            // The caller of this execution has disconnected, so further work for it would be
+            // wasted.
             Some(None) => reply::response(&Answer::not_run(Reason::Cancelled)),
             Some(Some(context)) => {
                 let answer = self.call_within(&context, service, request).await;
                 reply::response(&answer)
             }
-            None => self.call_from_outside(service, request).await,
+            None => self.call_without_context(service, request).await,
         }
     }
 
-    /// Makes a call for an execution of the own upstream.
+    /// Dispatches a call that belongs to an execution in the own upstream.
     async fn call_within(
         &self,
         context: &Rc<Context>,
         service: ServiceName,
         request: Request,
     ) -> Answer {
-        let Some(traits) = self.traits(&service, &request) else {
+        let Some(profile) = self.profile(&service, &request) else {
             return Answer::not_run(Reason::Undeclared);
         };
-        let key = identity(&service, &request);
-        let call = Builder::new(traits, service, request)
-            .within(context)
+        let key = subcall_key(&service, &request);
+        let call = Builder::new(profile, service, request)
+            .for_execution(context)
             .build();
-        let outside = context.step_outside();
+        let subcall_guard = context.begin_subcall();
         let answer = match (self.policy, call.repeat) {
-            (Policy::Adaptive, Repeat::Never) => self.call_once(context, key, call).await,
-            (Policy::Adaptive, _) => self.call_bounded(context, key, call).await,
+            (Policy::Adaptive, Repeat::Never) => self.call_at_most_once(context, key, call).await,
+            (Policy::Adaptive, _) => self.call_within_budget(context, key, call).await,
             _ => self.dispatcher.dispatch(call, &context.budget).await,
         };
-        drop(outside);
-        context.note_answer(&answer);
+        drop(subcall_guard);
+        context.record_answer(&answer);
         answer
     }
 
-    /// Makes a call unless it is a retry for which nothing is left.
-    async fn call_bounded(&self, context: &Rc<Context>, key: SubcallKey, call: Call) -> Answer {
-        if !context.may_call(&key) {
+    /// Dispatches a call, unless it is a retry and the retry budget is spent.
+    async fn call_within_budget(
+        &self,
+        context: &Rc<Context>,
+        key: SubcallKey,
+        call: Call,
+    ) -> Answer {
+        if !context.register_call(&key) {
             return Answer::not_run(Reason::Allowance);
         }
         let answer = self.dispatcher.dispatch(call, &context.budget).await;
         if !answer.is_success() {
-            context.note_failed(key);
+            context.record_failed_call(key);
         }
         answer
     }
 
-    /// Makes a non-idempotent call, or gives the answer of the same call made before.
+    /// Dispatches a non-idempotent call, or returns the answer of the same call made before.
     ///
-    /// It goes on in a task of its own when the upstream stops waiting. Only a
-    /// call that certainly did not run is made again.
-    async fn call_once(&self, context: &Rc<Context>, key: SubcallKey, call: Call) -> Answer {
-        let earlier = context.once.borrow().get(&key).cloned();
-        if let Some(earlier) = earlier {
-            let answer = earlier.await;
+    /// The call continues in its own task if the upstream stops waiting. It is only repeated if it
+    /// certainly did not run.
+    async fn call_at_most_once(
+        &self,
+        context: &Rc<Context>,
+        key: SubcallKey,
+        call: Call,
+    ) -> Answer {
+        let previous = context.once.borrow().get(&key).cloned();
+        if let Some(previous) = previous {
+            let answer = previous.await;
             if answer.outcome != Outcome::NotRun {
                 return answer;
             }
         }
-        if !context.may_call(&key) {
+        if !context.register_call(&key) {
             return Answer::not_run(Reason::Allowance);
         }
-        let shared = self.start_once(context, call);
+        let shared = self.start_at_most_once(context, call);
         context
             .once
             .borrow_mut()
             .insert(key.clone(), shared.clone());
         let answer = shared.await;
         if answer.outcome == Outcome::NotRun {
-            context.note_failed(key);
+            context.record_failed_call(key);
         }
         answer
     }
 
-    fn start_once(&self, context: &Rc<Context>, call: Call) -> SharedAnswer {
+    fn start_at_most_once(&self, context: &Rc<Context>, call: Call) -> SharedAnswer {
         let (sender, receiver) = oneshot::channel();
         let dispatcher = Rc::clone(&self.dispatcher);
         let budget = context.budget.clone();
@@ -179,29 +190,29 @@
         answer.boxed_local().shared()
     }
 
-    /// Makes a call that belongs to no request, such as one of a timer in the upstream.
-    async fn call_from_outside(&self, service: ServiceName, request: Request) -> Response {
-        let Some(traits) = self.traits(&service, &request) else {
+    /// Dispatches a call that belongs to no execution, such as one made by a timer in the upstream.
+    async fn call_without_context(&self, service: ServiceName, request: Request) -> Response {
+        let Some(profile) = self.profile(&service, &request) else {
             return reply::response(&Answer::not_run(Reason::Undeclared));
         };
-        let call = Builder::new(traits, service, request).build();
+        let call = Builder::new(profile, service, request).build();
         let budget = Budget::new(call.allowance);
         reply::response(&self.dispatcher.dispatch(call, &budget).await)
     }
 
-    fn traits(&self, service: &ServiceName, request: &Request) -> Option<Traits> {
+    fn profile(&self, service: &ServiceName, request: &Request) -> Option<Profile> {
         let current = self.configuration.current();
         let kind = current
             .declaration
             .kind_of(service, request.method.as_str(), &request.path);
-        kind.map(Traits::from).or_else(Traits::undeclared)
+        kind.map(Profile::from).or_else(Profile::undeclared)
     }
 }
 
-/// Returns what makes a call the same as another one made for the same execution.
+/// Returns the key by which calls of the same execution are considered the same.
 ///
-/// A key chosen by the upstream decides; without one it is the whole content.
-fn identity(service: &ServiceName, request: &Request) -> SubcallKey {
+/// It contains the idempotency key if the upstream sent one, otherwise the body.
+fn subcall_key(service: &ServiceName, request: &Request) -> SubcallKey {
     let mut hash = Xxh3::new();
     hash.update(service.as_str().as_bytes());
     hash.update(request.method.as_str().as_bytes());
--- a/crates/node/src/retry/tests.rs
+++ b/crates/node/src/retry/tests.rs
@@ -1,18 +1,21 @@
-//! A budget bounds retries however calls are spread.
+//! Retry budgets hold for parallel calls and lost answers, and the retry ratio runs out.
 
 use sailtrack_units::{Allowance, Ratio};
 
-use crate::retry::{Budget, Ratios};
+use crate::retry::{Budget, Limiter};
 
 #[test]
 fn parallel_calls_share() {
     let budget = Budget::new(Allowance(5));
-    let loans: Vec<_> = (0..10).map(|_| budget.lend()).collect();
-    let lent: u32 = loans.iter().map(|loan| loan.amount().0).sum();
-    assert_eq!(lent, 5);
+    let reservations: Vec<_> = (0..10).map(|_| budget.reserve()).collect();
+    let reserved: u32 = reservations
+        .iter()
+        .map(|reservation| reservation.amount().0)
+        .sum();
+    assert_eq!(reserved, 5);
     assert!(!budget.spend());
-    for loan in loans {
-        loan.give_back(Allowance(0));
+    for reservation in reservations {
+        reservation.refund(Allowance(0));
     }
     assert_eq!(budget.used(), Allowance(0));
 }
@@ -20,23 +23,25 @@
 #[test]
 fn lost_answer_counts() {
     let budget = Budget::new(Allowance(4));
-    let loan = budget.lend();
-    let lent = loan.amount();
-    loan.give_back(lent);
+    let reservation = budget.reserve();
+    let reserved = reservation.amount();
+    reservation.refund(reserved);
     assert_eq!(budget.used(), Allowance(2));
-    drop(budget.lend());
+    drop(budget.reserve());
     assert_eq!(budget.used(), Allowance(3));
 }
 
 #[test]
 fn ratio_runs_out() {
-    let ratios = Ratios::new(Ratio(0.1));
+    let retry_limiter = Limiter::new(Ratio(0.1));
     let service = "ledger".parse().expect("a name");
-    let taken = (0..100).filter(|_| ratios.take(&service)).count();
+    let taken = (0..100)
+        .filter(|_| retry_limiter.try_acquire(&service))
+        .count();
     assert_eq!(taken, 20);
     for _ in 0..11 {
-        ratios.note_success(&service);
+        retry_limiter.record_success(&service);
     }
-    assert!(ratios.take(&service));
-    assert!(!ratios.take(&service));
+    assert!(retry_limiter.try_acquire(&service));
+    assert!(!retry_limiter.try_acquire(&service));
 }
--- a/crates/node/src/routing/peer_load.rs
+++ b/crates/node/src/routing/peer_load.rs
@@ -1,4 +1,4 @@
-//! What a node has learned about one member from the answers to its calls.
+//! The load and health of one member, as seen in its answers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,22 +7,22 @@
 use sailtrack_wire::{Outcome, Reason};
 
 use crate::call::Answer;
-use crate::routing::fading::Fading;
+use crate::routing::decay::Level;
 use sailtrack_admission::Pressure;
 
-/// This many failures in a row eject a member.
+/// Number of consecutive failures after which a member is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// How long a member is ejected the first time; each further time doubles it.
+/// Duration of the first ejection; each further one doubles it.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// The longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(8);
+/// Upper bound of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(8);
 
-/// What a node has learned about one member.
+/// The load and health of one member.
 #[derive(Debug, Default)]
 pub(crate) struct PeerLoad {
-    /// Calls sent and not answered yet.
+    /// Calls sent but not answered yet.
     pub(crate) outstanding: u32,
-    levels: HashMap<KindName, Fading>,
+    levels: HashMap<KindName, Level>,
     pressure: Option<(Pressure, Instant)>,
     failures: u32,
     ejections: u32,
@@ -30,29 +30,32 @@
 }
 
 impl PeerLoad {
-    /// Returns the rank that the member admits for requests of this kind.
+    /// Returns the rank that the member requires for requests of this kind.
     pub(crate) fn level(&self, now: Instant, root_kind: &KindName) -> Rank {
         let level = self.levels.get(root_kind);
         level.map_or(Rank::LOWEST, |level| level.at(now))
     }
 
-    /// Returns how full the member is, as far as is known; it has this many slots.
+    /// Returns the pressure of the member, which has this many slots: the larger of its decayed
+    /// report and the calls outstanding from here.
     pub(crate) fn pressure(&self, now: Instant, slots: f64) -> Pressure {
-        let own = Pressure(f64::from(self.outstanding) / slots);
-        let told = self.pressure.map_or(Pressure::default(), |(told, heard)| {
-            told.decayed(heard, now)
-        });
-        told.max(own)
+        let local = Pressure(f64::from(self.outstanding) / slots);
+        let reported = self
+            .pressure
+            .map_or(Pressure::default(), |(reported, reported_at)| {
+                reported.decayed(reported_at, now)
+            });
+        reported.max(local)
     }
 
-    /// Notes what an answer says about the member.
-    pub(crate) fn note_answer(&mut self, now: Instant, root_kind: &KindName, answer: &Answer) {
+    /// Updates load and health from an answer of the member.
+    pub(crate) fn observe(&mut self, now: Instant, root_kind: &KindName, answer: &Answer) {
         if is_failure(answer) {
-            self.note_failure(now, answer.reason == Reason::Connection);
+            self.record_failure(now, answer.reason == Reason::Connection);
             return;
         }
         self.pressure = Some((answer.pressure, now));
-        let level = Fading::new(answer.level, now);
+        let level = Level::new(answer.level, now);
         self.levels.insert(root_kind.clone(), level);
         if answer.outcome == Outcome::Done {
             self.failures = 0;
@@ -61,12 +64,13 @@
         }
     }
 
-    /// Returns true while no call is sent to the member.
+    /// Returns true while the member is ejected and gets no calls.
     pub(crate) fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Returns true if a call may be sent; a member that returns gets one at a time.
+    /// Returns true if a call may be sent; after an ejection, a member gets one trial call at a
+    /// time until one succeeds.
     pub(crate) fn is_available(&self, now: Instant) -> bool {
         match self.ejected_until {
             None => true,
@@ -74,20 +78,20 @@
         }
     }
 
-    fn note_failure(&mut self, now: Instant, unreachable: bool) {
+    fn record_failure(&mut self, now: Instant, unreachable: bool) {
         self.failures += 1;
         if !unreachable && self.failures < FAILURES_TO_EJECT {
             return;
         }
         let doublings = self.ejections.min(4);
-        let length = (FIRST_EJECTION * 2u32.pow(doublings)).min(LONGEST_EJECTION);
+        let length = (FIRST_EJECTION * 2u32.pow(doublings)).min(MAX_EJECTION);
         self.ejected_until = Some(now + length);
         self.ejections += 1;
         self.failures = 0;
     }
 }
 
-/// Returns true if the answer speaks against the member itself, not against its load.
+/// Returns true if the answer indicates a failure of the member itself rather than overload.
 fn is_failure(answer: &Answer) -> bool {
     match answer.outcome {
         Outcome::Done => false,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -12,8 +12,8 @@
 const ADDRESS: &str = "an IP number with a port, such as 127.0.0.1:7100";
 const PERIOD: &str = "a period such as 250ms, 5s or 10m";
 
-/// A call for a request in progress waits this many times longer than a new one.
-const BEGUN_PATIENCE: u32 = 2;
+/// A nested call may wait in the admission queue this many times longer than a root request.
+const NESTED_QUEUE_TIME_FACTOR: u32 = 2;
 
 /// The addresses on which the node listens.
 #[derive(Debug, Clone, Copy)]
@@ -24,49 +24,49 @@
     pub(crate) local: SocketAddr,
     /// For other nodes, TCP and UDP.
     pub(crate) peer: SocketAddr,
-    /// What other nodes are told to connect to.
+    /// The address advertised to other nodes.
     pub(crate) advertise: SocketAddr,
     /// For operators and for scraping metrics.
     pub(crate) operator: SocketAddr,
 }
 
-/// Where the platform is and how often it is asked.
+/// Address of the platform, and polling intervals.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Platform {
     pub(crate) address: SocketAddr,
-    /// How often the configuration's version is read.
+    /// Interval at which the configuration's version is polled.
     pub(crate) poll: Period,
-    /// How often the node's own row is renewed.
+    /// Interval at which the node's row is renewed.
     pub(crate) renew: Period,
 }
 
-/// How the node decides.
+/// Settings of admission, retries and tickets.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Rules {
-    /// Who may enter the own upstream.
+pub(crate) struct Tuning {
+    /// Admission to the own upstream.
     pub(crate) admission: admission::Config,
-    /// The share of calls that retries may add.
+    /// Ratio of retries to successful calls.
     pub(crate) retry_ratio: Ratio,
-    /// How long a ticket can be used.
-    pub(crate) ticket_life: Period,
-    /// The most memory for the answers of finished tickets.
+    /// Lifetime of a ticket.
+    pub(crate) ticket_lifetime: Period,
+    /// Limit on the memory for the answers of finished tickets.
     pub(crate) ticket_memory: ByteSize,
 }
 
-/// How nodes watch each other.
+/// Settings of the failure detector.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Watch {
-    /// The time between two probes.
+pub(crate) struct Detector {
+    /// Interval between two probes.
     pub(crate) period: Period,
-    /// How long an answer to a probe may take.
+    /// Timeout of a probe.
     pub(crate) timeout: Period,
-    /// How long a suspected node may take to answer for itself.
-    pub(crate) suspicion: Period,
-    /// How long a dead node is remembered and looked for.
-    pub(crate) forget: Period,
+    /// How long a suspect may take to refute the suspicion before it is declared dead.
+    pub(crate) suspicion_timeout: Period,
+    /// How long a dead member's record is kept and the member is still probed.
+    pub(crate) retention: Period,
 }
 
-/// First contacts for a node that starts while the platform is down.
+/// Addresses of first contacts for a node that starts while the platform is down.
 pub(crate) type Seeds = Vec<SocketAddr>;
 
 /// All settings of a node.
@@ -75,8 +75,8 @@
     pub(crate) identity: Identity,
     pub(crate) ports: Ports,
     pub(crate) platform: Platform,
-    pub(crate) rules: Rules,
-    pub(crate) watch: Watch,
+    pub(crate) tuning: Tuning,
+    pub(crate) detector: Detector,
     pub(crate) seeds: Seeds,
     pub(crate) log_level: LevelFilter,
 }
@@ -88,9 +88,9 @@
         let identity = Identity::read(&document.section("node"));
         let ports = read_ports(&document.section("ports"));
         let platform = read_platform(&document.section("platform"));
-        let rules = read_rules(&document.optional_section("policy"));
+        let tuning = read_tuning(&document.optional_section("policy"));
         let membership = document.optional_section("membership");
-        let watch = read_watch(&membership);
+        let detector = read_detector(&membership);
         let seeds = membership.list("seeds", ADDRESS);
         drop(membership);
         let log = document.optional_section("log");
@@ -102,8 +102,8 @@
                 identity,
                 ports,
                 platform,
-                rules,
-                watch,
+                tuning,
+                detector,
                 seeds,
                 log_level,
             }),
@@ -138,27 +138,27 @@
     })
 }
 
-fn read_rules(section: &Section<'_>) -> Rules {
+fn read_tuning(section: &Section<'_>) -> Tuning {
     let queue_time = section.or("queue-time", Period::from_millis(100), PERIOD);
-    Rules {
+    Tuning {
         admission: admission::Config {
             policy: section.or("mode", Policy::Adaptive, "forward, fixed or adaptive"),
             fixed_limit: section.ranged("fixed-limit", 100, 1..=100_000),
             queue_time,
-            nested_queue_time: Period(queue_time.0 * BEGUN_PATIENCE),
+            nested_queue_time: Period(queue_time.0 * NESTED_QUEUE_TIME_FACTOR),
             warm_up: section.or("warm-up", Period::from_millis(2000), PERIOD),
         },
         retry_ratio: section.or("retry-ratio", Ratio(0.1), "from 0 to 1"),
-        ticket_life: section.or("ticket-life", Period::from_millis(300_000), PERIOD),
+        ticket_lifetime: section.or("ticket-life", Period::from_millis(300_000), PERIOD),
         ticket_memory: section.or("ticket-memory", ByteSize(16 << 20), "such as 16MiB"),
     }
 }
 
-fn read_watch(section: &Section<'_>) -> Watch {
-    Watch {
+fn read_detector(section: &Section<'_>) -> Detector {
+    Detector {
         period: section.or("period", Period::from_millis(500), PERIOD),
         timeout: section.or("timeout", Period::from_millis(200), PERIOD),
-        suspicion: section.or("suspicion", Period::from_millis(1500), PERIOD),
-        forget: section.or("forget", Period::from_millis(600_000), PERIOD),
+        suspicion_timeout: section.or("suspicion", Period::from_millis(1500), PERIOD),
+        retention: section.or("forget", Period::from_millis(600_000), PERIOD),
     }
 }
--- a/crates/node/src/ticket/handover.rs
+++ b/crates/node/src/ticket/handover.rs
@@ -1,4 +1,4 @@
-//! What a node that stopped in an orderly way handed over to this one about its tickets.
+//! Answers handed over to this node by nodes that shut down.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,78 +16,80 @@
     pub(crate) answer: Answer,
 }
 
-/// A part of what one life of a node hands over.
+/// A part of the handover of one incarnation of a node.
 #[derive(Debug, Clone)]
 pub(crate) struct Part {
     pub(crate) home: NodeName,
     pub(crate) incarnation: Incarnation,
-    pub(crate) kept: Vec<Entry>,
-    /// How many tickets there are in all parts.
+    pub(crate) entries: Vec<Entry>,
+    /// Number of tickets in all parts together.
     pub(crate) total: usize,
 }
 
-/// What one life of a node has handed over.
+/// The handover received from one incarnation of a node.
 #[derive(Debug)]
 struct Received {
     answers: HashMap<u64, Answer>,
     total: usize,
     arrived: Instant,
-    /// The memory of the answers.
-    size: usize,
+    /// Memory used by the answers.
+    bytes: usize,
 }
 
 impl Received {
-    /// Returns true if every ticket that this life ever ran is here.
+    /// Returns true if the outcomes of all tickets that the incarnation had on record have been
+    /// received.
     fn is_complete(&self) -> bool {
         self.answers.len() >= self.total
     }
 
-    /// Keeps an answer and returns by how many bytes that needs more memory.
-    fn keep(&mut self, entry: Entry) -> usize {
-        let size = footprint(&entry.answer);
-        let earlier = self.answers.insert(entry.ticket.serial, entry.answer);
-        let grown = size.saturating_sub(earlier.as_ref().map_or(0, footprint));
-        self.size += grown;
-        grown
+    /// Stores an answer and returns the additional memory used, in bytes.
+    fn insert(&mut self, entry: Entry) -> usize {
+        let bytes = footprint(&entry.answer);
+        let previous = self.answers.insert(entry.ticket.serial, entry.answer);
+        let added = bytes.saturating_sub(previous.as_ref().map_or(0, footprint));
+        self.bytes += added;
+        added
     }
 }
 
-/// What other nodes have handed over to this one.
+/// All handovers received by this node.
 #[derive(Debug, Default)]
 pub(crate) struct Archive {
-    lives: HashMap<(NodeName, Incarnation), Received>,
-    used: usize,
+    handovers: HashMap<(NodeName, Incarnation), Received>,
+    used_bytes: usize,
 }
 
 impl Archive {
-    /// Takes in a part of what a node hands over, unless it needs more than `room` bytes.
-    pub(crate) fn take(&mut self, part: Part, now: Instant, room: usize) -> bool {
-        let sizes = part.kept.iter().map(|entry| footprint(&entry.answer));
-        if sizes.sum::<usize>() > room {
+    /// Stores a part of a handover, unless it needs more than `available` bytes.
+    pub(crate) fn merge(&mut self, part: Part, now: Instant, available: usize) -> bool {
+        let sizes = part.entries.iter().map(|entry| footprint(&entry.answer));
+        if sizes.sum::<usize>() > available {
             return false;
         }
         let received = self
-            .lives
+            .handovers
             .entry((part.home, part.incarnation))
             .or_insert_with(|| Received {
                 answers: HashMap::new(),
                 total: part.total,
                 arrived: now,
-                size: 0,
+                bytes: 0,
             });
-        for entry in part.kept {
-            self.used += received.keep(entry);
+        for entry in part.entries {
+            self.used_bytes += received.insert(entry);
         }
         true
     }
 
-    /// Returns the final answer to a ticket of a life that has ended, if it is known here.
+    /// Returns the final answer for a ticket of an incarnation that has ended, if it is known.
     ///
-    /// A ticket that is missing from a complete handover was never run, and no longer can be; that is
-    /// said only if the ticket is `recent`, since the home may have forgotten an old one.
-    pub(crate) fn find(&self, ticket: &Ticket, recent: bool) -> Option<Answer> {
+    /// A ticket missing from a complete handover was never executed and no longer can be. This is
+    /// only concluded for a `recent` ticket, since the home node may have dropped the record of an
+    /// old one.
+    pub(crate) fn lookup(&self, ticket: &Ticket, recent: bool) -> Option<Answer> {
         let key = (ticket.home.clone(), ticket.incarnation);
-        let received = self.lives.get(&key)?;
+        let received = self.handovers.get(&key)?;
         let known = received.answers.get(&ticket.serial).cloned();
         known.or_else(|| {
             let never_run = recent && received.is_complete();
@@ -95,26 +97,26 @@
         })
     }
 
-    /// Forgets what arrived longer ago than `life`.
-    pub(crate) fn forget_old(&mut self, now: Instant, life: Duration) {
+    /// Drops handovers received longer than `retention` ago.
+    pub(crate) fn evict_old(&mut self, now: Instant, retention: Duration) {
         let mut freed = 0;
-        self.lives.retain(|_, received| {
-            let keep = now.saturating_duration_since(received.arrived) < life;
-            freed += if keep { 0 } else { received.size };
+        self.handovers.retain(|_, received| {
+            let keep = now.saturating_duration_since(received.arrived) < retention;
+            freed += if keep { 0 } else { received.bytes };
             keep
         });
-        self.used -= freed;
+        self.used_bytes -= freed;
     }
 
-    /// Returns the memory that is taken up.
-    pub(crate) fn used(&self) -> usize {
-        self.used
+    /// Returns the memory used.
+    pub(crate) fn used_bytes(&self) -> usize {
+        self.used_bytes
     }
 }
 
-/// Returns the answer as it is handed over: one whose body is too long is unknown.
-pub(crate) fn handed_over(answer: &Answer, longest: usize) -> Answer {
-    if answer.outcome == Outcome::Done && answer.body.len() > longest {
+/// Returns the answer to hand over: if the body is too long, an unknown outcome instead.
+pub(crate) fn for_handover(answer: &Answer, max_body: usize) -> Answer {
+    if answer.outcome == Outcome::Done && answer.body.len() > max_body {
         return Answer::unknown(Reason::AnswerTooLarge);
     }
     answer.clone()
--- a/crates/node/src/ticket/mod.rs
+++ b/crates/node/src/ticket/mod.rs
@@ -1,9 +1,9 @@
 //! At-most-once execution by tickets.
 //!
-//! A ticket names the one incarnation of a node that may ever run its request.
-//! That node remembers what became of it, so no other copy runs, and a repeat
-//! gets the first answer. Each ticket has exactly one final outcome; a refusal
-//! is remembered too, so that a late copy cannot run after it.
+//! A ticket names the only incarnation of a node, its home node, that may execute its request. That
+//! node records the outcome, so no other copy is executed and a retry gets the first answer. Each
+//! ticket has exactly one final outcome; a refusal is recorded as well, so that a delayed copy
+//! cannot run after it.
 
 mod builder;
 mod handover;
@@ -24,44 +24,44 @@
 
 use crate::call::Answer;
 use builder::Builder;
-use handover::{Archive, handed_over};
+use handover::{Archive, for_handover};
 pub(crate) use handover::{Entry, Part};
 use record::{RECORD_OVERHEAD, Record, State, footprint};
 
-/// A ticket minted further in the future than this is not valid.
+/// Limit on how far in the future a ticket may be minted, to allow for clock skew.
 const MAX_SKEW: Duration = Duration::from_mins(1);
-/// The most tickets remembered at once.
+/// Limit on the number of tickets recorded at once.
 const MAX_RECORDS: usize = 200_000;
-/// The longest body of an answer that is handed over.
-const LONGEST_HANDED_OVER: usize = 64 * 1024;
+/// Limit on the body size of an answer that is handed over, in bytes.
+const MAX_HANDED_OVER_BODY: usize = 64 * 1024;
 
-/// What to do with a call that brings a ticket.
-pub(crate) enum Begin {
-    /// It is the first copy and is to run now.
+/// What to do with a call that carries a ticket.
+pub(crate) enum Disposition {
+    /// This is the first copy: execute it.
     Run,
-    /// A copy of it is running; its answer will come here.
+    /// A copy is running; its answer is sent to this receiver.
     Wait(oneshot::Receiver<Answer>),
-    /// Its final answer is known.
+    /// The final answer is recorded.
     Closed(Answer),
-    /// The ticket is too old; nothing is remembered about it.
+    /// The ticket has expired; its outcome is no longer recorded.
     Expired,
-    /// There is no room to remember it.
+    /// There is no memory left to record the ticket.
     Full,
-    /// It is not for this incarnation of this node.
+    /// The home of the ticket is another node or another incarnation.
     Foreign,
 }
 
-/// The tickets of this incarnation of the node.
+/// The tickets whose home is this incarnation of the node.
 pub(crate) struct Tickets {
     home: NodeName,
     incarnation: Incarnation,
-    life: Duration,
+    lifetime: Duration,
     memory: ByteSize,
     clock: Clock,
     records: RefCell<HashMap<u64, Record>>,
-    by_age: RefCell<VecDeque<(Timestamp, u64)>>,
-    used: Cell<usize>,
-    /// What other nodes handed over when they stopped.
+    by_arrival: RefCell<VecDeque<(Timestamp, u64)>>,
+    used_bytes: Cell<usize>,
+    /// Answers handed over by other nodes at their shutdown.
     archive: RefCell<Archive>,
 }
 
@@ -70,12 +70,12 @@
 }
 
 impl Tickets {
-    /// Starts to make the tickets of this incarnation of the node.
+    /// Returns a builder for the tickets of this incarnation.
     pub(crate) fn builder(home: NodeName, incarnation: Incarnation) -> Builder {
         Builder::new(home, incarnation)
     }
 
-    /// Makes a ticket whose request only `home` may run.
+    /// Mints a ticket whose request only `home` may execute.
     pub(crate) fn mint(&self, home: NodeName, incarnation: Incarnation) -> Ticket {
         Ticket {
             home,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Makes a ticket whose request only this node may run.
+    /// Mints a ticket whose request only this node may execute.
     pub(crate) fn mint_here(&self) -> Ticket {
         self.mint(self.home.clone(), self.incarnation)
     }
@@ -95,60 +95,61 @@
         ticket.home == self.home && ticket.incarnation == self.incarnation
     }
 
-    /// Says what to do with a call that brings `ticket`.
-    pub(crate) fn begin(&self, ticket: &Ticket) -> Begin {
+    /// Decides what to do with a call that carries `ticket`, and records the ticket if it is new.
+    pub(crate) fn begin(&self, ticket: &Ticket) -> Disposition {
         if !self.is_home(ticket) {
             return self.begin_foreign(ticket);
         }
         let now = self.clock.now();
-        self.forget_expired(now);
-        self.forget_handed_over(Instant::now());
+        self.evict_expired(now);
+        self.evict_handovers(Instant::now());
         let mut records = self.records.borrow_mut();
         if let Some(record) = records.get_mut(&ticket.serial) {
             return record.join();
         }
         if self.is_expired(ticket.minted, now) || ticket.minted > now.after(MAX_SKEW) {
-            return Begin::Expired;
+            return Disposition::Expired;
         }
-        if records.len() >= MAX_RECORDS || self.used.get() >= self.memory.as_usize() {
-            return Begin::Full;
+        if records.len() >= MAX_RECORDS || self.used_bytes.get() >= self.memory.as_usize() {
+            return Disposition::Full;
         }
         records.insert(ticket.serial, Record::running(ticket.minted));
-        self.by_age.borrow_mut().push_back((now, ticket.serial));
-        self.used.set(self.used.get() + RECORD_OVERHEAD);
-        Begin::Run
+        self.by_arrival.borrow_mut().push_back((now, ticket.serial));
+        self.used_bytes.set(self.used_bytes.get() + RECORD_OVERHEAD);
+        Disposition::Run
     }
 
-    /// Says what is known about a ticket of another node that has stopped.
-    fn begin_foreign(&self, ticket: &Ticket) -> Begin {
+    /// Looks up the ticket of another node among the handed-over answers.
+    fn begin_foreign(&self, ticket: &Ticket) -> Disposition {
         let now = self.clock.now();
         if self.is_expired(ticket.minted, now) {
-            return Begin::Expired;
+            return Disposition::Expired;
         }
-        let certain = self.life.saturating_sub(MAX_SKEW * 2);
-        let recent = ticket.minted.after(certain) > now;
-        let answer = self.archive.borrow().find(ticket, recent);
-        answer.map_or(Begin::Foreign, Begin::Closed)
+        let safe_age = self.lifetime.saturating_sub(MAX_SKEW * 2);
+        let recent = ticket.minted.after(safe_age) > now;
+        let answer = self.archive.borrow().lookup(ticket, recent);
+        answer.map_or(Disposition::Foreign, Disposition::Closed)
     }
 
-    /// Takes in what a node hands over; returns false if there is no room.
+    /// Stores a part of a handover; returns false if there is not enough memory.
     pub(crate) fn receive(&self, part: Part, now: Instant) -> bool {
-        self.forget_handed_over(now);
+        self.evict_handovers(now);
         let mut archive = self.archive.borrow_mut();
-        let taken = self.used.get() + archive.used();
-        let room = self.memory.as_usize().saturating_sub(taken);
-        archive.take(part, now, room)
+        let used = self.used_bytes.get() + archive.used_bytes();
+        let available = self.memory.as_usize().saturating_sub(used);
+        archive.merge(part, now, available)
     }
 
-    /// Forgets what was handed over when no ticket of that life can be used any more.
-    pub(crate) fn forget_handed_over(&self, now: Instant) {
+    /// Drops handed-over answers whose tickets have all expired.
+    pub(crate) fn evict_handovers(&self, now: Instant) {
         let mut archive = self.archive.borrow_mut();
-        archive.forget_old(now, self.life + MAX_SKEW);
+        archive.evict_old(now, self.lifetime + MAX_SKEW);
     }
 
-    /// Returns what this life hands over about its tickets, in parts of about `size` bytes.
+    /// Returns the handover of this incarnation's tickets, in parts of about `size` bytes.
     ///
-    /// A request that still runs is handed over as unknown, so nobody calls it not run.
+    /// A request that is still running is handed over with an unknown outcome, so that no successor
+    /// reports it as not run.
     pub(crate) fn handover_parts(&self, size: usize) -> Vec<Part> {
         let records = self.records.borrow();
         let total = records.len();
@@ -157,7 +158,7 @@
         for (serial, record) in records.iter() {
             let answer = record.final_answer().map_or_else(
                 || Answer::unknown(Reason::Cancelled),
-                |answer| handed_over(answer, LONGEST_HANDED_OVER),
+                |answer| for_handover(answer, MAX_HANDED_OVER_BODY),
             );
             let length = footprint(&answer);
             if filled + length > size {
@@ -172,7 +173,7 @@
                 minted: record.minted,
             };
             if let Some(part) = parts.last_mut() {
-                part.kept.push(Entry { ticket, answer });
+                part.entries.push(Entry { ticket, answer });
             }
         }
         parts
@@ -182,72 +183,74 @@
         Part {
             home: self.home.clone(),
             incarnation: self.incarnation,
-            kept: Vec::new(),
+            entries: Vec::new(),
             total,
         }
     }
 
-    /// Keeps the final answer of the request and tells it to all who wait for it.
+    /// Records the final answer of a request and sends it to everyone waiting for it.
     pub(crate) fn close(&self, ticket: &Ticket, answer: &Answer) {
         let mut records = self.records.borrow_mut();
         let Some(record) = records.get_mut(&ticket.serial) else {
             return;
         };
-        self.used.set(self.used.get() + answer.body.len());
+        self.used_bytes
+            .set(self.used_bytes.get() + answer.body.len());
         let earlier = std::mem::replace(&mut record.state, State::Closed(answer.clone()));
-        if let State::Running(waiting) = earlier {
-            for waiter in waiting {
-                // A waiter that has gone needs no answer.
+        if let State::Running(waiters) = earlier {
+            for waiter in waiters {
+                // The waiter may have disconnected.
                 let _ = waiter.send(answer.clone());
             }
         }
     }
 
-    /// Returns how many own tickets are remembered, and the memory they take up with what
-    /// was handed over.
+    /// Returns the number of recorded tickets, and the memory used by them and by handed-over
+    /// answers.
     pub(crate) fn size(&self) -> (usize, ByteSize) {
-        let bytes = self.used.get() + self.archive.borrow().used();
+        let bytes = self.used_bytes.get() + self.archive.borrow().used_bytes();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         (self.records.borrow().len(), ByteSize(bytes))
     }
 
     fn is_expired(&self, minted: Timestamp, now: Timestamp) -> bool {
-        minted.after(self.life) < now
+        minted.after(self.lifetime) < now
     }
 
-    /// Forgets the closed requests whose tickets can no longer be used.
+    /// Drops the records of finished requests whose tickets have expired.
     ///
-    /// The clock never goes back, so a forgotten ticket stays expired. Records
-    /// leave in the order in which they came, once twice the life and the
-    /// greatest skew have passed since.
-    fn forget_expired(&self, now: Timestamp) {
-        let mut by_age = self.by_age.borrow_mut();
+    /// The clock never goes back, so a ticket stays expired after its record is gone. Records
+    /// are dropped in order of arrival, and no earlier than one ticket lifetime plus the maximum
+    /// skew after it.
+    fn evict_expired(&self, now: Timestamp) {
+        let mut by_arrival = self.by_arrival.borrow_mut();
         let mut records = self.records.borrow_mut();
-        while let Some((came, serial)) = by_age.front().copied() {
+        while let Some((arrived, serial)) = by_arrival.front().copied() {
             let Some(record) = records.get(&serial) else {
-                by_age.pop_front();
+                by_arrival.pop_front();
                 continue;
             };
-            let outlived = came.after(self.life + MAX_SKEW) < now;
-            if !outlived || !self.is_expired(record.minted, now) || record.is_running() {
+            let is_past_retention = arrived.after(self.lifetime + MAX_SKEW) < now;
+            if !is_past_retention || !self.is_expired(record.minted, now) || record.is_running() {
                 return;
             }
             let size = RECORD_OVERHEAD + record.answer_length();
-            self.used.set(self.used.get().saturating_sub(size));
+            self.used_bytes
+                .set(self.used_bytes.get().saturating_sub(size));
             records.remove(&serial);
-            by_age.pop_front();
+            by_arrival.pop_front();
         }
     }
 }
 
-/// Closes a ticket as unknown if its execution ends without an answer.
-pub(crate) struct Closing {
+/// Guard that closes a ticket with an unknown outcome if its execution ends without an answer.
+pub(crate) struct CloseGuard {
     tickets: Rc<Tickets>,
     ticket: Ticket,
     closed: bool,
 }
 
-impl Closing {
+impl CloseGuard {
     pub(crate) fn new(tickets: &Rc<Tickets>, ticket: &Ticket) -> Self {
         Self {
             tickets: Rc::clone(tickets),
@@ -263,7 +266,7 @@
     }
 }
 
-impl Drop for Closing {
+impl Drop for CloseGuard {
     fn drop(&mut self) {
         if !self.closed {
             let answer = Answer::unknown(Reason::Cancelled);
