--- a/crates/mesh/src/entry/answering.rs
+++ b/crates/mesh/src/entry/answering.rs
@@ -8,7 +8,7 @@
 use monoio::net::TcpStream;
 use monoio::time::timeout;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_wire::Outcome;
 
 use crate::body::Stream;
@@ -156,7 +156,7 @@
 
     /// Refuses what the client sent and ends the connection.
     async fn refuse(&mut self, refusal: Refusal, retry_after: Option<Duration>) -> Next {
-        let _held = Held::new(&self.entry.in_flight);
+        let _held = Guard::new(&self.entry.in_flight);
         if !matches!(refusal, Refusal::NoRoute | Refusal::NotRun | Refusal::NoKey) {
             emit(
                 &catalogue::INPUT_REFUSED,
--- a/crates/mesh/src/entry/connection.rs
+++ b/crates/mesh/src/entry/connection.rs
@@ -6,7 +6,7 @@
 use monoio::io::{AsyncWriteRent as _, OwnedWriteHalf, Splitable as _};
 use monoio::net::TcpStream;
 use monoio::time::timeout;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_net::transparent::Reader;
 
 use crate::entry::Entry;
@@ -98,7 +98,7 @@
     /// Ends the answers and reads what still comes: closing with unread bytes would reset the
     /// connection, and the client could not read its answer.
     async fn linger(&mut self) {
-        let _held = Held::new(&self.entry.in_flight);
+        let _held = Guard::new(&self.entry.in_flight);
         let draining = async {
             // The client may have closed it.
             let _ = self.writer.shutdown().await;
--- a/crates/mesh/src/entry/pipeline.rs
+++ b/crates/mesh/src/entry/pipeline.rs
@@ -15,7 +15,7 @@
 use std::task::{Context, Poll};
 
 use futures::future::LocalBoxFuture;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 
 use crate::entry::Entry;
 use crate::entry::connection::Next;
@@ -96,7 +96,7 @@
 
 /// What a request holds from its beginning until it has been answered.
 pub(super) struct Place {
-    held: Held,
+    held: Guard,
     closed: Rc<Cell<bool>>,
     ready: [Rc<Cell<usize>>; 2],
 }
@@ -105,7 +105,7 @@
 pub(super) struct Weight {
     counts: [Rc<Cell<usize>>; 2],
     bytes: usize,
-    _held: Held,
+    _held: Guard,
 }
 
 /// The token of a request; it goes back if the request counts as not read.
@@ -155,7 +155,7 @@
     }
 
     /// Returns what a request needs that is begun now.
-    pub(super) fn place(&self, held: Held) -> Place {
+    pub(super) fn place(&self, held: Guard) -> Place {
         Place {
             held,
             closed: Rc::clone(&self.closed),
--- a/crates/mesh/src/entry/reading.rs
+++ b/crates/mesh/src/entry/reading.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures::future::{Either, ready, select};
 use monoio::time::timeout;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_net::transparent::{BodyError, Framing, HeadError, MessageError, Reader};
 use sailtrack_wire::Reason;
 
@@ -119,10 +119,10 @@
 
     /// Reads one request and begins it when its turn has come.
     async fn begin_next(&mut self) -> Result<(), Stop> {
-        let held = Held::new(&self.entry.in_flight);
+        let held = Guard::new(&self.entry.in_flight);
         let limits = self.entry.limits();
         let bytes = self.head(limits).await?;
-        let came = self.reader.last_came().unwrap_or_else(Instant::now);
+        let came = self.reader.last_arrival().unwrap_or_else(Instant::now);
         let mut incoming = self.parse(&bytes, came)?;
         let is_idempotent = incoming.route.is_idempotent();
         if !self.pipeline.has_place(is_idempotent) {
@@ -252,7 +252,7 @@
         }
         let mut hasher = incoming.hasher(&self.entry.service);
         let see = |piece: &[u8]| hasher.update(piece);
-        let body = self.reader.body_seen(incoming.framing, limit, see);
+        let body = self.reader.inspect_body(incoming.framing, limit, see);
         match clock::until(incoming.deadline, body).await {
             Ok(Ok(body)) => Ok(Received {
                 body,
--- a/crates/mesh/src/entry/request.rs
+++ b/crates/mesh/src/entry/request.rs
@@ -119,7 +119,7 @@
         let kind = self.route.importance;
         let workspace = self.workspace().and_then(|workspace| workspace.importance);
         let own = match workspace {
-            Some(workspace) => Rank::within(workspace, kind, id),
+            Some(workspace) => Rank::for_workspace(workspace, kind, id),
             None => Rank::new(kind, id),
         };
         self.parent
@@ -178,7 +178,7 @@
                 || field.is(fields.credential)
                 || field.is(fields.workspace)
         };
-        self.head.fields.pass_on(&mut bytes, replaced);
+        self.head.fields.append_end_to_end(&mut bytes, replaced);
         let own = format!("{}: {caller}\r\n", fields.caller);
         bytes.extend_from_slice(own.as_bytes());
         if let Some(workspace) = self.workspace() {
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -32,7 +32,7 @@
 use sailtrack_admission::{Admission, Pressure, Rejection, Throttle, ThrottlePermit};
 use sailtrack_kernel::Service;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_net::task::{self, Held};
+use sailtrack_net::task;
 use sailtrack_quarantine::Standing;
 use sailtrack_units::ServiceName;
 use sailtrack_wire::{Outcome, Reason};
@@ -104,7 +104,7 @@
     /// Dropping the future cancels an idempotent request, and any request that has not been sent
     /// yet.
     pub(crate) async fn run(self: &Rc<Self>, request: Request) -> Response {
-        let in_flight_guard = Held::new(&self.in_flight);
+        let in_flight_guard = task::Guard::new(&self.in_flight);
         let (attempt, kind) = (request.attempt.clone(), request.kind.clone());
         let class = request.class;
         let mut response = self.admit(request).await;
@@ -228,7 +228,7 @@
         let deadline = request.deadline;
         let is_given_up = Rc::clone(&admitted.is_given_up);
         let (sender, receiver) = oneshot::channel();
-        let in_flight_guard = Held::new(&self.in_flight);
+        let in_flight_guard = task::Guard::new(&self.in_flight);
         task::spawn("execution", async move {
             let until = request.deadline + RESPONSE_GRACE;
             let mut response = gate.send(&request, &admitted, until).await;
--- a/crates/mesh/src/gate/send.rs
+++ b/crates/mesh/src/gate/send.rs
@@ -143,6 +143,6 @@
     bytes.extend_from_slice(format!("HTTP/1.1 {} ", head.status).as_bytes());
     bytes.extend_from_slice(&head.reason);
     bytes.extend_from_slice(b"\r\n");
-    head.fields.pass_on(&mut bytes, |_| false);
+    head.fields.append_end_to_end(&mut bytes, |_| false);
     bytes.freeze()
 }
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -13,7 +13,7 @@
 use sailtrack_admission::{Config, Policy};
 use sailtrack_kernel::{Error, Joining, Life, Table};
 use sailtrack_log::{catalogue, emit};
-use sailtrack_net::terminate::{Signal, Signals};
+use sailtrack_net::signal::{Signal, Signals};
 use sailtrack_units::Period;
 
 use crate::configuration::Current;
--- a/crates/mesh/src/node/stop.rs
+++ b/crates/mesh/src/node/stop.rs
@@ -7,8 +7,8 @@
 use monoio::time::sleep;
 use sailtrack_kernel::{Draining, Error, Life, Table};
 use sailtrack_log::{catalogue, emit};
+use sailtrack_net::signal::Signals;
 use sailtrack_net::task;
-use sailtrack_net::terminate::Signals;
 
 use crate::clock;
 use crate::entry::Entry;
--- a/crates/mesh/src/peer/link/connection.rs
+++ b/crates/mesh/src/peer/link/connection.rs
@@ -9,7 +9,7 @@
 use monoio::time::{sleep, timeout};
 use rand::Rng as _;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_net::dial::{DialError, dial, give_up_after};
+use sailtrack_net::dial::{DialError, dial, set_user_timeout};
 use sailtrack_net::frames::{ConnectionError, FrameReader, OUTGOING_CAPACITY, hello, write_frames};
 use sailtrack_units::Incarnation;
 use sailtrack_wire::{Body, Hello};
@@ -47,7 +47,7 @@
         let dialed = dial(self.member.address, Some(self.source), CONNECT_TIMEOUT)
             .await
             .map_err(ConnectionError::Dial)?;
-        give_up_after(&dialed.probe, UNACKNOWLEDGED_TIMEOUT).map_err(ConnectionError::Io)?;
+        set_user_timeout(&dialed.probe, UNACKNOWLEDGED_TIMEOUT).map_err(ConnectionError::Io)?;
         drop(dialed.probe);
         let (read, write) = dialed.stream.into_split();
         let (mut outgoing, frames) = mpsc::channel(OUTGOING_CAPACITY);
@@ -91,7 +91,7 @@
                 if member.node != self.member.name.as_str()
                     || member.service != self.member.service.as_str() =>
             {
-                Err(ConnectionError::Stranger(member.node.clone()))
+                Err(ConnectionError::UnexpectedPeer(member.node.clone()))
             }
             _ => Ok(()),
         }
@@ -116,7 +116,7 @@
         let Err(error) = result else {
             return;
         };
-        let is_stranger = matches!(error, ConnectionError::Stranger(_));
+        let is_stranger = matches!(error, ConnectionError::UnexpectedPeer(_));
         // Reconnection attempts to the address may go on for minutes, until the row of the node is
         // removed. The wrong node is logged only once.
         let is_first = is_stranger && !self.found_stranger.replace(is_stranger);
--- a/crates/mesh/src/reload/reader.rs
+++ b/crates/mesh/src/reload/reader.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
-use sailtrack_net::wakes::Wakes;
+use sailtrack_net::wakeup;
 
 /// What one look at the file found.
 #[derive(Debug)]
@@ -32,13 +32,13 @@
 pub(super) struct Reader {
     readings: Receiver<Reading>,
     /// Brings one byte for each reading, which wakes the task that waits for it.
-    wakes: Wakes,
+    wakes: wakeup::Receiver,
 }
 
 impl Reader {
     /// Begins to read a file each time that `pause` is over, and when it is asked for.
     pub(super) fn start(file: PathBuf, pause: Duration) -> io::Result<(Self, Asker)> {
-        let (wakes, thread_side) = Wakes::pair()?;
+        let (wakes, thread_side) = wakeup::Receiver::pair()?;
         let (asks, asked) = mpsc::channel();
         let (sender, readings) = mpsc::channel();
         let looks = Looks {
--- a/crates/net/src/accept.rs
+++ b/crates/net/src/accept.rs
@@ -11,7 +11,7 @@
 use monoio::time::sleep;
 use sailtrack_log::{catalogue, emit};
 
-use crate::task::{self, Held};
+use crate::task::{self, Guard};
 
 /// The pause after a failed accept: without descriptors it fails again at once, and a node that
 /// only tries again serves nothing else.
@@ -50,7 +50,7 @@
             refuse(bounds.port, &"too many connections");
             continue;
         }
-        let held = Held::new(&open);
+        let held = Guard::new(&open);
         // Combined, not awaited in a block: that would keep the state of the connection twice.
         task::spawn(bounds.task, serve(stream).map(move |()| drop(held)));
     }
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -91,7 +91,7 @@
 /// Ends the connection once sent data is not acknowledged for this long.
 ///
 /// Without it a connection through a partition is held for minutes.
-pub fn give_up_after(stream: &StdStream, time: Duration) -> io::Result<()> {
+pub fn set_user_timeout(stream: &StdStream, time: Duration) -> io::Result<()> {
     SockRef::from(stream).set_tcp_user_timeout(Some(time))
 }
 
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -27,7 +27,7 @@
     /// the connection could not be opened: {0}
     Dial(crate::dial::DialError),
     /// another node answers at this address: {0}
-    Stranger(String),
+    UnexpectedPeer(String),
 }
 
 impl std::error::Error for ConnectionError {}
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -21,7 +21,7 @@
 use crate::http::limits::Limits;
 use crate::http::message::{Request, Response};
 use crate::http::reader::{InputError, RequestReader};
-use crate::task::{self, Held};
+use crate::task::{self, Guard};
 
 /// Answers the requests of a port.
 pub trait Handler: 'static {
@@ -83,7 +83,7 @@
         if !port.limits.accept_time.is_zero() {
             sleep(port.limits.accept_time).await;
         }
-        let held = Held::new(&open);
+        let held = Guard::new(&open);
         let handler = Rc::clone(&handler);
         let (name, limits) = (port.name, port.limits);
         task::spawn("http connection", async move {
--- a/crates/net/src/terminate.rs
+++ b/crates/net/src/signal.rs
@@ -6,12 +6,12 @@
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::low_level::pipe;
 
-use crate::wakes::Wakes;
+use crate::wakeup::Receiver;
 
 /// Receives the SIGTERM signals of this process.
 #[derive(Debug)]
 pub struct Terminate {
-    wakes: Wakes,
+    wakes: Receiver,
 }
 
 impl Terminate {
@@ -39,8 +39,8 @@
 /// Receives the signals of this process.
 #[derive(Debug)]
 pub struct Signals {
-    terminate: Wakes,
-    reload: Wakes,
+    terminate: Receiver,
+    reload: Receiver,
 }
 
 impl Signals {
@@ -63,8 +63,8 @@
     }
 }
 
-fn take_over(signal: i32) -> io::Result<Wakes> {
-    let (wakes, sender) = Wakes::pair()?;
+fn take_over(signal: i32) -> io::Result<Receiver> {
+    let (wakes, sender) = Receiver::pair()?;
     pipe::register(signal, sender)?;
     Ok(wakes)
 }
--- a/crates/net/src/task.rs
+++ b/crates/net/src/task.rs
@@ -35,9 +35,9 @@
 
 /// Counts one piece of work for as long as it lives.
 #[derive(Debug)]
-pub struct Held(Rc<Cell<usize>>);
+pub struct Guard(Rc<Cell<usize>>);
 
-impl Held {
+impl Guard {
     /// Adds one to `count` until the value is dropped.
     #[must_use]
     pub fn new(count: &Rc<Cell<usize>>) -> Self {
@@ -46,7 +46,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for Guard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/net/src/transparent/fields.rs
+++ b/crates/net/src/transparent/fields.rs
@@ -61,7 +61,7 @@
     ///
     /// Left out are those that concern one connection, the length of the body,
     /// which is stated anew, and those that `replaced` says to be set by us.
-    pub fn pass_on(&self, head: &mut BytesMut, replaced: impl Fn(&Field) -> bool) {
+    pub fn append_end_to_end(&self, head: &mut BytesMut, replaced: impl Fn(&Field) -> bool) {
         for field in &self.0 {
             if self.is_hop_by_hop(field) || field.is("content-length") || replaced(field) {
                 continue;
--- a/crates/net/src/transparent/reader.rs
+++ b/crates/net/src/transparent/reader.rs
@@ -117,7 +117,7 @@
     ///
     /// A message that was read late had come before, and its sender waits since then.
     #[must_use]
-    pub fn last_came(&self) -> Option<Instant> {
+    pub fn last_arrival(&self) -> Option<Instant> {
         self.arrivals.last_taken(self.buffer.len())
     }
 
@@ -191,11 +191,11 @@
 
     /// Returns the whole body of the message whose head was read last.
     pub async fn body(&mut self, framing: Framing, limit: usize) -> Result<Bytes, BodyError> {
-        self.body_seen(framing, limit, |_| {}).await
+        self.inspect_body(framing, limit, |_| {}).await
     }
 
     /// Returns the whole body, and shows `see` each piece of it as it comes.
-    pub async fn body_seen(
+    pub async fn inspect_body(
         &mut self,
         framing: Framing,
         limit: usize,
--- a/crates/net/src/wakes.rs
+++ b/crates/net/src/wakeup.rs
@@ -8,9 +8,9 @@
 
 /// Receives what wakes a task: one byte each time.
 #[derive(Debug)]
-pub struct Wakes(UnixStream);
+pub struct Receiver(UnixStream);
 
-impl Wakes {
+impl Receiver {
     /// Returns the side that waits, and the one that wakes it.
     pub fn pair() -> io::Result<(Self, StdStream)> {
         let (receiver, sender) = StdStream::pair()?;
--- a/crates/node/src/entrance.rs
+++ b/crates/node/src/entrance.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use sailtrack_kernel::Service;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_units::RequestId;
 use sailtrack_wire::{Outcome, Reason};
 
@@ -72,7 +72,7 @@
 
     /// Accounts for one attempt and brings it to its answer.
     pub(crate) async fn account(&self, call: Call) -> Answer {
-        let _held = Held::new(&self.dispatcher.executor.in_flight);
+        let _held = Guard::new(&self.dispatcher.executor.in_flight);
         let seen = self.remember(&call);
         if seen.may_have_run.get() && !seen.budget.spend() {
             let answer = Answer::unknown(Reason::Allowance);
--- a/crates/node/src/execute.rs
+++ b/crates/node/src/execute.rs
@@ -63,7 +63,7 @@
 impl Executor {
     /// Runs a call, or gives the answer of its ticket if that ran before.
     pub(crate) async fn execute(self: &Rc<Self>, call: Call) -> Answer {
-        let held = task::Held::new(&self.in_flight);
+        let held = task::Guard::new(&self.in_flight);
         let answer = match call.ticket.clone() {
             Some(ticket) if self.policy == Policy::Adaptive => {
                 self.execute_once(call, ticket).await
@@ -93,7 +93,7 @@
     ) -> oneshot::Receiver<Answer> {
         let (sender, receiver) = oneshot::channel();
         let executor = Rc::clone(self);
-        let held = task::Held::new(&self.in_flight);
+        let held = task::Guard::new(&self.in_flight);
         task::spawn("execution", async move {
             let answer = executor.run(&call, patience).await;
             ended(&answer);
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -11,8 +11,8 @@
 use monoio::time::sleep;
 use sailtrack_kernel::{Draining, Error, Joining, Life, Serving, Table};
 use sailtrack_log::{catalogue, emit};
+use sailtrack_net::signal::Terminate;
 use sailtrack_net::task;
-use sailtrack_net::terminate::Terminate;
 use sailtrack_units::ConfigVersion;
 use sailtrack_wire::State;
 
--- a/crates/node/src/port/client.rs
+++ b/crates/node/src/port/client.rs
@@ -7,7 +7,7 @@
 use sailtrack_declaration::{Kind, Repeat};
 use sailtrack_kernel::Phase;
 use sailtrack_net::http::{Handler, Request, Response};
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_units::{RequestId, Ticket};
 use sailtrack_wire::{Outcome, Reason};
 
@@ -45,7 +45,7 @@
 
 impl Handler for ClientPort {
     async fn handle(&self, request: Request) -> Response {
-        let held = Held::new(&self.in_flight);
+        let held = Guard::new(&self.in_flight);
         let response = self.answer(request).await;
         drop(held);
         response
--- a/crates/node/src/port/local.rs
+++ b/crates/node/src/port/local.rs
@@ -10,7 +10,7 @@
 use sailtrack_declaration::Repeat;
 use sailtrack_log::{catalogue, emit};
 use sailtrack_net::http::{Handler, Request, Response};
-use sailtrack_net::task::{self, Held};
+use sailtrack_net::task::{self, Guard};
 use sailtrack_units::ServiceName;
 use sailtrack_wire::{Outcome, Reason};
 use xxhash_rust::xxh3::Xxh3;
@@ -50,7 +50,7 @@
         if request.path == ANNOUNCE {
             return self.take_announcement(&request);
         }
-        let held = Held::new(&self.in_flight);
+        let held = Guard::new(&self.in_flight);
         let response = self.take_call(request).await;
         drop(held);
         response
--- a/crates/units/src/rank.rs
+++ b/crates/units/src/rank.rs
@@ -42,7 +42,7 @@
     /// Returns the rank of a root request that matters this much on behalf of its workspace, and
     /// among those of equal workspaces this much by its kind.
     #[must_use]
-    pub fn within(workspace: Importance, kind: Importance, request: RequestId) -> Self {
+    pub fn for_workspace(workspace: Importance, kind: Importance, request: RequestId) -> Self {
         let Self(by_hash) = Self::new(workspace, request);
         let second = (kind as u8) << SECOND_SHIFT;
         let hash = (by_hash & HASH_MASK) >> SECOND_BITS;
--- a/standins/load/src/main.rs
+++ b/standins/load/src/main.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use monoio::time::sleep;
-use sailtrack_net::task::{self, Held};
+use sailtrack_net::task::{self, Guard};
 use sailtrack_standin::Name;
 
 use arrival::Arrivals;
@@ -46,7 +46,7 @@
         if !wait.is_zero() {
             sleep(wait).await;
         }
-        let held = Held::new(&open);
+        let held = Guard::new(&open);
         let client = Rc::clone(&client);
         task::spawn("request", async move {
             client.request(&arrival).await;
--- a/standins/platform/src/main.rs
+++ b/standins/platform/src/main.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 
 use sailtrack_net::http::{Limits, Port, serve};
+use sailtrack_net::signal::Terminate;
 use sailtrack_net::task;
-use sailtrack_net::terminate::Terminate;
 use sailtrack_standin::Name;
 
 use service::Service;
--- a/standins/upstream/src/main.rs
+++ b/standins/upstream/src/main.rs
@@ -15,8 +15,8 @@
 
 use monoio::time::sleep;
 use sailtrack_net::http::{Limits, Port, serve};
+use sailtrack_net::signal::Terminate;
 use sailtrack_net::task;
-use sailtrack_net::terminate::Terminate;
 use sailtrack_standin::Name;
 
 use service::Service;
