--- a/crates/units/src/importance.rs
+++ b/crates/units/src/importance.rs
@@ -1,4 +1,4 @@
-//! How much a kind of request matters.
+//! Importance levels of requests and the classes built from them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// How much a kind of request matters; the greatest is shed last.
+/// The importance of a kind of request; more important requests are shed later.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
@@ -14,7 +14,7 @@
 pub enum Importance {
     /// Shed first.
     Low,
-    /// The importance of what is not declared otherwise.
+    /// The default for kinds that declare no importance.
     #[default]
     Normal,
     /// Shed after normal requests.
@@ -30,10 +30,10 @@
 impl std::error::Error for ImportanceError {}
 
 impl Importance {
-    /// Every importance, the least first.
+    /// All levels, in ascending order.
     pub const ALL: [Self; 4] = [Self::Low, Self::Normal, Self::High, Self::Critical];
 
-    /// Returns the word used for it in declarations.
+    /// Returns the name used in declarations.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -62,13 +62,13 @@
     }
 }
 
-/// What decides first in which order requests are shed: how much the workspace matters on whose
-/// behalf a request is made, then how much its kind does. Without a workspace the kind is both.
+/// The first criterion of the shedding order: the importance of the workspace that a request is
+/// made for, then that of its kind. Without a workspace, the importance of the kind serves as both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Class {
-    /// How much the workspace matters.
+    /// The importance of the workspace.
     pub workspace: Importance,
-    /// How much the kind of request matters.
+    /// The importance of the kind of request.
     pub kind: Importance,
 }
 
@@ -76,13 +76,13 @@
     /// The number of different classes.
     pub const COUNT: usize = Importance::ALL.len() * Importance::ALL.len();
 
-    /// Returns the place in the order, counted from zero.
+    /// Returns the position in the shedding order, counted from zero.
     #[must_use]
     pub fn index(self) -> usize {
         self.workspace as usize * Importance::ALL.len() + self.kind as usize
     }
 
-    /// Returns the class with this place in the order, if there is one.
+    /// Returns the class at this position in the shedding order, if there is one.
     #[must_use]
     pub fn from_index(index: usize) -> Option<Self> {
         let workspace = *Importance::ALL.get(index / Importance::ALL.len())?;
--- a/crates/units/src/rank.rs
+++ b/crates/units/src/rank.rs
@@ -6,19 +6,19 @@
 
 use crate::{Importance, RequestId};
 
-/// Bits of the rank that come from the hash of the root request.
+/// The lower bits of a rank, which hold a hash of the root request.
 const HASH_BITS: u32 = 6;
-/// The bits of the hash.
+/// Mask of the hash bits.
 const HASH_MASK: u8 = (1 << HASH_BITS) - 1;
-/// Bits in place of the first ones of the hash that come from the kind, where a workspace decides
-/// first.
-const SECOND_BITS: u32 = 2;
-/// Where those bits begin.
-const SECOND_SHIFT: u32 = HASH_BITS - SECOND_BITS;
+/// The upper hash bits that hold the importance of the kind instead, in a rank whose first
+/// criterion is the importance of the workspace.
+const KIND_BITS: u32 = 2;
+/// Position of the kind bits.
+const KIND_SHIFT: u32 = HASH_BITS - KIND_BITS;
 
-/// The place of a request in the order of shedding; the smallest is shed first.
+/// The position of a request in the shedding order; the smallest is shed first.
 ///
-/// Importance decides, then a hash of the root request that is the same on
+/// Requests are ordered by importance, then by a hash of the root request. The hash is the same on
 /// every node, so that all layers keep the same requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Rank(u8);
@@ -26,12 +26,12 @@
 impl Rank {
     /// The number of different ranks.
     pub const COUNT: usize = 4 << HASH_BITS;
-    /// The rank that is shed first; as an admission level it admits everything.
+    /// The rank that is shed first; as an admission level it admits every request.
     pub const LOWEST: Self = Self(0);
     /// The rank that is shed last.
     pub const HIGHEST: Self = Self(u8::MAX);
 
-    /// Returns the rank of a root request of this importance.
+    /// Returns the rank of a root request with this importance.
     #[must_use]
     pub fn new(importance: Importance, request: RequestId) -> Self {
         let class = (importance as u8) << HASH_BITS;
@@ -39,29 +39,29 @@
         Self(class | hash)
     }
 
-    /// Returns the rank of a root request that matters this much on behalf of its workspace, and
-    /// among those of equal workspaces this much by its kind.
+    /// Returns the rank of a root request made for a workspace: ordered by the importance of the
+    /// workspace, then by that of the kind.
     #[must_use]
     pub fn for_workspace(workspace: Importance, kind: Importance, request: RequestId) -> Self {
         let Self(by_hash) = Self::new(workspace, request);
-        let second = (kind as u8) << SECOND_SHIFT;
-        let hash = (by_hash & HASH_MASK) >> SECOND_BITS;
-        Self((by_hash & !HASH_MASK) | second | hash)
+        let kind_bits = (kind as u8) << KIND_SHIFT;
+        let hash = (by_hash & HASH_MASK) >> KIND_BITS;
+        Self((by_hash & !HASH_MASK) | kind_bits | hash)
     }
 
-    /// Returns the rank with this place in the order, counted from zero.
+    /// Returns the rank at this position in the shedding order, counted from zero.
     #[must_use]
     pub fn from_index(index: u8) -> Self {
         Self(index)
     }
 
-    /// Returns the place in the order, counted from zero.
+    /// Returns the position in the shedding order, counted from zero.
     #[must_use]
     pub fn index(self) -> u8 {
         self.0
     }
 
-    /// Returns the importance that the rank was made from.
+    /// Returns the importance that is the first criterion of this rank.
     #[must_use]
     pub fn importance(self) -> Importance {
         Importance::ALL[usize::from(self.0 >> HASH_BITS)]
