--- a/crates/units/src/ident.rs
+++ b/crates/units/src/ident.rs
@@ -1,4 +1,4 @@
-//! Numeric identifiers: requests, incarnations and configuration versions.
+//! Numeric identifiers of requests, incarnations, configuration versions and store eras.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -6,17 +6,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one request from its entry to the last call made for it.
+/// Identifies a root request and all calls made for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// Returns a fresh identifier drawn from `random`.
+    /// Returns a random identifier.
     pub fn draw(random: &mut impl rand::Rng) -> Self {
         Self(random.random())
     }
 
-    /// Returns the identifier that stands for a key chosen by the client.
+    /// Returns the identifier derived from a key that the client chose; equal keys give equal
+    /// identifiers.
     #[must_use]
     pub fn from_key(key: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_128(key.as_bytes()))
@@ -69,14 +70,15 @@
 }
 
 counter!(
-    /// Tells one life of a node from the next one under the same name.
+    /// Identifies one run of a node process, so that a restart under the same name is recognized.
     Incarnation
 );
 counter!(
-    /// The version of an accepted configuration; zero means none yet.
+    /// The version of an accepted configuration; zero means that none has been accepted yet.
     ConfigVersion
 );
 counter!(
-    /// Rises each time the store comes back from a copy; zero means that the store tells none.
+    /// Increases each time the store is restored from a backup; zero means that the store does not
+    /// report it.
     Era
 );
--- a/crates/units/src/name.rs
+++ b/crates/units/src/name.rs
@@ -1,4 +1,4 @@
-//! Names of services, nodes, failure domains, request kinds, events and operators.
+//! Names of services, nodes, failure domains, request kinds, events, operators and workspaces.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,10 +7,10 @@
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// The longest name accepted, in bytes.
+/// The maximum length of a name, in bytes.
 const MAX_NAME_LENGTH: usize = 63;
 
-/// Why a text is not a name.
+/// Why a name could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum NameError {
     /// a name must not be empty
@@ -23,15 +23,15 @@
 
 impl std::error::Error for NameError {}
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
     if text.len() > MAX_NAME_LENGTH {
         return Err(NameError::TooLong(text.len()));
     }
-    let inner = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
-    if let Some(bad) = text.chars().find(|c| !inner(*c)) {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
+    if let Some(bad) = text.chars().find(|c| !is_allowed(*c)) {
         return Err(NameError::Character(bad));
     }
     match text.chars().next() {
@@ -65,7 +65,7 @@
             type Err = NameError;
 
             fn from_str(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(Rc::from(text)))
             }
         }
--- a/crates/units/src/ticket.rs
+++ b/crates/units/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Tickets that bind a non-idempotent request to the one node that may run it.
+//! Tickets that bind a non-idempotent request to the one node that may execute it.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,16 +7,16 @@
 
 use crate::{Incarnation, NodeName, Timestamp};
 
-/// Names the one incarnation of a node that may ever run a non-idempotent request.
+/// Identifies the only incarnation of a node that may ever execute a non-idempotent request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ticket {
-    /// The node that may run the request.
+    /// The node that may execute the request.
     pub home: NodeName,
-    /// The life of that node that may run it.
+    /// The incarnation of that node.
     pub incarnation: Incarnation,
-    /// Tells the tickets of one incarnation apart.
+    /// Distinguishes the tickets of one incarnation.
     pub serial: u64,
-    /// When the ticket was made; its life is counted from here.
+    /// When the ticket was issued; its lifetime starts here.
     pub minted: Timestamp,
 }
 
@@ -40,13 +40,13 @@
     type Err = TicketError;
 
     fn from_str(text: &str) -> Result<Self, TicketError> {
-        let mut parts = text.split(':');
-        let mut part = || parts.next().ok_or(TicketError);
-        let home = part()?.parse().map_err(|_| TicketError)?;
-        let incarnation = part()?.parse().map_err(|_| TicketError)?;
-        let serial = u64::from_str_radix(part()?, 16).map_err(|_| TicketError)?;
-        let minted = part()?.parse().map(Timestamp).map_err(|_| TicketError)?;
-        match parts.next() {
+        let mut fields = text.split(':');
+        let mut field = || fields.next().ok_or(TicketError);
+        let home = field()?.parse().map_err(|_| TicketError)?;
+        let incarnation = field()?.parse().map_err(|_| TicketError)?;
+        let serial = u64::from_str_radix(field()?, 16).map_err(|_| TicketError)?;
+        let minted = field()?.parse().map(Timestamp).map_err(|_| TicketError)?;
+        match fields.next() {
             Some(_) => Err(TicketError),
             None => Ok(Self {
                 home,
