--- a/crates/units/src/clock.rs
+++ b/crates/units/src/clock.rs
@@ -1,4 +1,4 @@
-//! Wall-clock time, and a clock that never goes back.
+//! Wall-clock timestamps, and a wall clock that never goes back.
 
 use std::cell::Cell;
 use std::fmt;
@@ -15,23 +15,23 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Returns the present time of the system's clock.
+    /// Returns the current time of the system clock.
     #[must_use]
     pub fn now() -> Self {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Self(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
+        Self(u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// Returns the time that lies `period` later.
+    /// Returns the time `period` later, saturating at the largest timestamp.
     #[must_use]
     pub fn after(self, period: Duration) -> Self {
         let millis = u64::try_from(period.as_millis()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(millis))
     }
 
-    /// Returns how much later than `earlier` it is, or zero.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
@@ -50,24 +50,26 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let time = humantime::parse_rfc3339_weak(text)?;
-        let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
-        Ok(Self(u64::try_from(since.as_millis()).unwrap_or(u64::MAX)))
+        let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or_default();
+        Ok(Self(
+            u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX),
+        ))
     }
 }
 
-/// A wall clock that never goes back, even when the system's clock is set back.
+/// A wall clock that never goes back, even when the system clock is set back.
 #[derive(Debug, Default)]
 pub struct Clock {
     latest: Cell<Timestamp>,
 }
 
 impl Clock {
-    /// Returns the present time, or the latest one given before if that is later.
+    /// Returns the current time, or the latest time returned before if that is later.
     pub fn now(&self) -> Timestamp {
         self.advance(Timestamp::now())
     }
 
-    /// Moves the clock to `reading` unless it is there already, and returns its time.
+    /// Advances the clock to `reading` unless it is already later, and returns its time.
     pub fn advance(&self, reading: Timestamp) -> Timestamp {
         let now = reading.max(self.latest.get());
         self.latest.set(now);
