--- a/crates/units/src/pace.rs
+++ b/crates/units/src/pace.rs
@@ -1,12 +1,12 @@
-//! How long work takes on an instance at a moment.
+//! How long work currently takes on an instance, compared with what is usual there.
 
 use std::fmt;
 use std::str::FromStr;
 
 use displaydoc::Display;
 
-/// The least and the greatest pace that is believed, in percent.
-const BELIEVED: std::ops::RangeInclusive<u32> = 10..=10_000;
+/// The plausible paces, in percent; others are rejected.
+const PLAUSIBLE: std::ops::RangeInclusive<u32> = 10..=10_000;
 
 /// a pace is a whole number of percent from 10 to 10000
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
@@ -14,7 +14,7 @@
 
 impl std::error::Error for PaceError {}
 
-/// How long work takes on an instance at a moment, in percent of what it usually takes there.
+/// How long work currently takes on an instance, in percent of its usual duration there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pace(u32);
 
@@ -26,22 +26,22 @@
     ///
     /// # Errors
     ///
-    /// Nobody works at such a pace.
+    /// Returns an error if the pace is not plausible, that is, not from 10 to 10000 percent.
     pub fn from_percent(percent: u32) -> Result<Self, PaceError> {
-        if BELIEVED.contains(&percent) {
+        if PLAUSIBLE.contains(&percent) {
             Ok(Self(percent))
         } else {
             Err(PaceError)
         }
     }
 
-    /// Returns it in percent.
+    /// Returns the pace in percent.
     #[must_use]
     pub fn percent(self) -> u32 {
         self.0
     }
 
-    /// Returns how many times as long as usual work takes.
+    /// Returns the pace as a factor of the usual duration: 2.0 if work takes twice as long.
     #[must_use]
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 100.0
--- a/crates/units/src/quantity.rs
+++ b/crates/units/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Sizes, periods, rates and ratios with their units.
+//! Sizes, periods, rates, ratios and retry allowances, parsed with their units.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// Why a text is not a quantity.
+/// Why a quantity could not be parsed.
 #[derive(Debug, Clone, PartialEq, Display)]
 pub enum QuantityError {
     /// a period is a number with a unit, such as 250ms, 5s, 10m or 1h: {0}
@@ -24,7 +24,7 @@
 
 impl std::error::Error for QuantityError {}
 
-/// A length of time, written with its unit.
+/// A duration, written with its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Period(pub Duration);
 
@@ -35,7 +35,7 @@
         Self(Duration::from_millis(millis))
     }
 
-    /// Returns the whole milliseconds in the period.
+    /// Returns the number of whole milliseconds, saturating at `u64::MAX`.
     #[must_use]
     pub fn as_millis(self) -> u64 {
         u64::try_from(self.0.as_millis()).unwrap_or(u64::MAX)
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the length of a text such as `2.5s`, which `humantime` does not read.
+/// Parses fractional seconds such as `2.5s`, which `humantime` does not accept.
 fn fractional_seconds(text: &str) -> Option<Duration> {
     let number = text.strip_suffix('s')?;
     if !number.contains('.') {
@@ -79,7 +79,7 @@
 pub struct ByteSize(pub u64);
 
 impl ByteSize {
-    /// Returns the size as a length in memory.
+    /// Returns the size as a `usize`, saturating at `usize::MAX`.
     #[must_use]
     pub fn as_usize(self) -> usize {
         usize::try_from(self.0).unwrap_or(usize::MAX)
@@ -134,7 +134,7 @@
     }
 }
 
-/// A share between zero and one.
+/// A fraction between zero and one.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Default, Serialize, Deserialize)]
 pub struct Ratio(pub f64);
 
@@ -155,10 +155,10 @@
     }
 }
 
-/// The greatest retry allowance that can be declared.
+/// The largest retry allowance that can be declared.
 const MAX_ALLOWANCE: u32 = 100;
 
-/// How many retries a request may still cause, over every service it crosses.
+/// How many retries a request may still cause, counted over all services that it passes through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Allowance(pub u32);
