--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,7 +1,7 @@
 //! Newtypes for the identifiers, sizes, times and rates that sailtrack works with.
 //!
-//! Each one has `Display` and `FromStr`, and the two agree: printing a value
-//! and parsing it back gives the same value.
+//! The types that have both `Display` and `FromStr` round-trip: parsing a printed value gives the
+//! same value.
 
 mod clock;
 mod ident;
--- a/crates/units/tests/round_trips.rs
+++ b/crates/units/tests/round_trips.rs
@@ -9,33 +9,37 @@
     RequestId, ServiceName, Ticket, Timestamp,
 };
 
-fn returns<T: Display + FromStr + PartialEq + std::fmt::Debug>(value: &T)
+fn assert_round_trip<T: Display + FromStr + PartialEq + std::fmt::Debug>(value: &T)
 where
     T::Err: std::fmt::Debug,
 {
     let text = value.to_string();
-    assert_eq!(&text.parse::<T>().expect("it parses"), value, "{text}");
+    assert_eq!(
+        &text.parse::<T>().expect("the printed value parses"),
+        value,
+        "{text}"
+    );
 }
 
 #[test]
 fn all_kinds() {
-    returns(&Period(Duration::from_millis(90_250)));
-    returns(&ByteSize(3 << 20));
-    returns(&ByteSize(1025));
-    returns(&Rate(12.5));
-    returns(&Ratio(0.25));
-    returns(&Allowance(3));
-    returns(&Era(4));
-    returns(&Pace::from_percent(250).expect("a pace"));
-    returns(&RequestId(0xfeed));
-    returns(&Timestamp(1_767_000_000_123));
-    returns(&"ledger-1".parse::<ServiceName>().expect("a name"));
-    returns(&Rank::from_index(77));
+    assert_round_trip(&Period(Duration::from_millis(90_250)));
+    assert_round_trip(&ByteSize(3 << 20));
+    assert_round_trip(&ByteSize(1025));
+    assert_round_trip(&Rate(12.5));
+    assert_round_trip(&Ratio(0.25));
+    assert_round_trip(&Allowance(3));
+    assert_round_trip(&Era(4));
+    assert_round_trip(&Pace::from_percent(250).expect("a valid pace"));
+    assert_round_trip(&RequestId(0xfeed));
+    assert_round_trip(&Timestamp(1_767_000_000_123));
+    assert_round_trip(&"ledger-1".parse::<ServiceName>().expect("a valid name"));
+    assert_round_trip(&Rank::from_index(77));
     for importance in Importance::ALL {
-        returns(&importance);
+        assert_round_trip(&importance);
     }
-    returns(&Ticket {
-        home: "paydesk-1".parse().expect("a name"),
+    assert_round_trip(&Ticket {
+        home: "paydesk-1".parse().expect("a valid name"),
         incarnation: Incarnation(17),
         serial: u64::MAX,
         minted: Timestamp(5),
