--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
-//! Everything that touches sockets: the runtime, signals, dialing and HTTP/1.1.
+//! Networking: the runtime, signals, outgoing connections, node-to-node frames and HTTP/1.1.
 //!
-//! The HTTP decoder of the library is only met through the bounds in [`http`],
-//! which refuse what it would crash or grow on.
+//! The decoder of `monoio-http` is only used behind the limits of [`http`], which reject input that
+//! would make it crash or use memory without bound.
 
 pub mod accept;
 pub mod dial;
--- a/crates/net/src/signal.rs
+++ b/crates/net/src/signal.rs
@@ -1,4 +1,4 @@
-//! Signals as something that a task can wait for.
+//! Lets a task wait for process signals.
 
 use std::io;
 
@@ -11,32 +11,32 @@
 /// Receives the SIGTERM signals of this process.
 #[derive(Debug)]
 pub struct Terminate {
-    wakes: Receiver,
+    wakeups: Receiver,
 }
 
 impl Terminate {
-    /// Takes over SIGTERM from its default, which would end the process.
+    /// Replaces the default action of SIGTERM, which would end the process.
     pub fn install() -> io::Result<Self> {
-        let wakes = take_over(SIGTERM)?;
-        Ok(Self { wakes })
+        let wakeups = register(SIGTERM)?;
+        Ok(Self { wakeups })
     }
 
-    /// Waits for the next signal.
+    /// Waits for the next SIGTERM.
     pub async fn wait(&mut self) -> io::Result<()> {
-        self.wakes.next().await.map(|_| ())
+        self.wakeups.next().await.map(|_| ())
     }
 }
 
-/// A signal that a process acts on.
+/// A signal that the process handles.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// It is to finish its work and end.
+    /// Finish the work in flight and exit (SIGTERM).
     Terminate,
-    /// Its settings have changed.
+    /// Reload the settings (SIGHUP).
     Reload,
 }
 
-/// Receives the signals of this process.
+/// Receives the SIGTERM and SIGHUP signals of this process.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Receiver,
@@ -44,11 +44,11 @@
 }
 
 impl Signals {
-    /// Takes over SIGTERM and SIGHUP from their defaults, which would end the process.
+    /// Replaces the default actions of SIGTERM and SIGHUP, which would end the process.
     pub fn install() -> io::Result<Self> {
         Ok(Self {
-            terminate: take_over(SIGTERM)?,
-            reload: take_over(SIGHUP)?,
+            terminate: register(SIGTERM)?,
+            reload: register(SIGHUP)?,
         })
     }
 
@@ -63,8 +63,8 @@
     }
 }
 
-fn take_over(signal: i32) -> io::Result<Receiver> {
-    let (wakes, sender) = Receiver::pair()?;
+fn register(signal: i32) -> io::Result<Receiver> {
+    let (wakeups, sender) = Receiver::pair()?;
     pipe::register(signal, sender)?;
-    Ok(wakes)
+    Ok(wakeups)
 }
--- a/crates/net/src/task.rs
+++ b/crates/net/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks that may panic without ending the process.
+//! Spawns tasks whose panics don't end the process, and counts work in flight.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -18,12 +18,12 @@
     PANICS.get()
 }
 
-/// Starts a task; a panic in it is logged and ends only the task.
+/// Spawns a task; a panic in it is logged and ends that task alone.
 pub fn spawn<F>(name: &'static str, task: F)
 where
     F: Future<Output = ()> + 'static,
 {
-    // Combined, not awaited in a block: that would keep the state of the task twice.
+    // A combinator, since an async block would store the future of the task twice.
     let guarded = AssertUnwindSafe(task).catch_unwind().map(move |result| {
         if result.is_err() {
             PANICS.set(PANICS.get() + 1);
@@ -33,12 +33,12 @@
     monoio::spawn(guarded);
 }
 
-/// Counts one piece of work for as long as it lives.
+/// RAII guard that counts one piece of work until it is dropped.
 #[derive(Debug)]
 pub struct Guard(Rc<Cell<usize>>);
 
 impl Guard {
-    /// Adds one to `count` until the value is dropped.
+    /// Increments `count` until the guard is dropped.
     #[must_use]
     pub fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
--- a/crates/net/src/wakeup.rs
+++ b/crates/net/src/wakeup.rs
@@ -6,19 +6,19 @@
 use monoio::io::AsyncReadRent as _;
 use monoio::net::UnixStream;
 
-/// Receives what wakes a task: one byte each time.
+/// The receiving end of a socket pair; each byte that arrives is one wakeup.
 #[derive(Debug)]
 pub struct Receiver(UnixStream);
 
 impl Receiver {
-    /// Returns the side that waits, and the one that wakes it.
+    /// Returns the receiver, and the sender that wakes it with each byte written.
     pub fn pair() -> io::Result<(Self, StdStream)> {
         let (receiver, sender) = StdStream::pair()?;
         receiver.set_nonblocking(true)?;
         Ok((Self(UnixStream::from_std(receiver)?), sender))
     }
 
-    /// Waits until it is woken; returns false if the other side is gone.
+    /// Waits for the next wakeup; returns false if the sender was closed.
     pub async fn next(&mut self) -> io::Result<bool> {
         let (result, _) = self.0.read(vec![0; 1]).await;
         result.map(|count| count > 0)
