--- a/crates/net/src/accept.rs
+++ b/crates/net/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, a bounded number at once, each in a task of its own.
+//! Accepts connections up to a limit and serves each in its own task.
 
 use std::cell::Cell;
 use std::fmt::Display;
@@ -13,22 +13,23 @@
 
 use crate::task::{self, Guard};
 
-/// The pause after a failed accept: without descriptors it fails again at once, and a node that
-/// only tries again serves nothing else.
-const FAILED_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept. Without free file descriptors the next one fails at once, so a
+/// retry without delay would keep the node from doing anything else.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What is accepted on one port.
+/// The limit on connections of one port, and the names used for it.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// The name of the port in log events.
     pub port: &'static str,
     /// The name of the tasks that serve its connections.
     pub task: &'static str,
-    /// The most connections open at once; more are closed and logged.
+    /// The maximum number of open connections; more are closed and logged.
     pub connections: usize,
 }
 
-/// Serves the connections of a listener for as long as the task lives; `open` counts them.
+/// Accepts and serves the connections of a listener until the task is dropped; `open` counts those
+/// that are open.
 pub async fn accept<F>(
     listener: TcpListener,
     bounds: Bounds,
@@ -41,22 +42,22 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                refuse(bounds.port, &error);
-                sleep(FAILED_PAUSE).await;
+                log_rejected(bounds.port, &error);
+                sleep(RETRY_DELAY).await;
                 continue;
             }
         };
         if open.get() >= bounds.connections {
-            refuse(bounds.port, &"too many connections");
+            log_rejected(bounds.port, &"too many connections");
             continue;
         }
-        let held = Guard::new(&open);
-        // Combined, not awaited in a block: that would keep the state of the connection twice.
-        task::spawn(bounds.task, serve(stream).map(move |()| drop(held)));
+        let guard = Guard::new(&open);
+        // A combinator, since an async block would store the future of the connection twice.
+        task::spawn(bounds.task, serve(stream).map(move |()| drop(guard)));
     }
 }
 
-fn refuse(port: &'static str, reason: &dyn Display) {
+fn log_rejected(port: &'static str, reason: &dyn Display) {
     emit(
         &catalogue::INPUT_REFUSED,
         &[("port", &port), ("reason", reason)],
--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections from a chosen source address.
+//! Opens outgoing TCP connections, optionally from a given source address.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr, TcpStream as StdStream};
@@ -8,14 +8,15 @@
 use monoio::net::TcpStream;
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 
-/// A connection that is idle for this long is asked whether it is still there,
+/// The idle time after which a keepalive probe is sent.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
-/// again after this time,
+/// The time between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// and closed if this many questions stay without an answer. A connection may fall silent without
-/// an end while new ones work; one that waits 29 s for news of the store is to be found before
-/// three seconds, the time after which the platform counts on it again.
-const KEEPALIVE_TRIES: u32 = 2;
+/// The number of unanswered keepalive probes after which the connection is closed.
+///
+/// A connection may become half-open while new ones work. One that waits 29 s in a long poll of the
+/// store must be detected within three seconds, after which the platform relies on it again.
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Why a connection could not be opened.
 #[derive(Debug, Display)]
@@ -34,16 +35,16 @@
     }
 }
 
-/// An open connection, with a second handle for looking at its state.
+/// An open connection, with a second handle to inspect its state.
 #[derive(Debug)]
 pub struct Dialed {
-    /// The connection that the runtime drives.
+    /// The connection as used by the runtime.
     pub stream: TcpStream,
-    /// The same connection, for peeking without taking bytes.
+    /// The same connection, for peeking without consuming bytes.
     pub probe: StdStream,
 }
 
-/// Opens a connection to `target` from `source`.
+/// Opens a connection to `target` from `source`, waiting for at most `limit`.
 pub async fn dial(
     target: SocketAddr,
     source: Option<IpAddr>,
@@ -60,7 +61,7 @@
     if let Some(source) = source {
         socket.bind(&SocketAddr::new(source, 0).into())?;
     }
-    start(&socket, target)?;
+    start_connect(&socket, target)?;
     let probe = StdStream::from(socket);
     let stream = TcpStream::from_std(probe.try_clone()?)?;
     match monoio::time::timeout(limit, stream.writable(false)).await {
@@ -77,10 +78,10 @@
     TcpKeepalive::new()
         .with_time(KEEPALIVE_TIME)
         .with_interval(KEEPALIVE_INTERVAL)
-        .with_retries(KEEPALIVE_TRIES)
+        .with_retries(KEEPALIVE_PROBES)
 }
 
-fn start(socket: &Socket, target: SocketAddr) -> io::Result<()> {
+fn start_connect(socket: &Socket, target: SocketAddr) -> io::Result<()> {
     const IN_PROGRESS: i32 = 115;
     match socket.connect(&target.into()) {
         Err(error) if error.raw_os_error() == Some(IN_PROGRESS) => Ok(()),
@@ -88,14 +89,14 @@
     }
 }
 
-/// Ends the connection once sent data is not acknowledged for this long.
+/// Sets `TCP_USER_TIMEOUT`: closes the connection once sent data is unacknowledged for this long.
 ///
-/// Without it a connection through a partition is held for minutes.
+/// Without it, a connection stays open for minutes during a network partition.
 pub fn set_user_timeout(stream: &StdStream, time: Duration) -> io::Result<()> {
     SockRef::from(stream).set_tcp_user_timeout(Some(time))
 }
 
-/// Returns true if the other side has neither closed nor sent anything.
+/// Returns true if the peer has neither closed the connection nor sent data that is unread.
 #[must_use]
 pub fn is_quiet(probe: &StdStream) -> bool {
     let mut byte = [0; 1];
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the frames of a connection between two nodes.
+//! Reads and writes length-delimited frames on a connection between two nodes.
 
 use bytes::BytesMut;
 use displaydoc::Display;
@@ -8,11 +8,11 @@
 use monoio::net::TcpStream;
 use sailtrack_wire::{Body, Codec, Frame, FrameError, Hello, Member, VERSION};
 
-/// The bytes asked for in one read.
+/// The size of one read, in bytes.
 const READ_SIZE: usize = 16 * 1024;
-/// Frames are gathered into one write up to this many bytes.
-const GATHER_SIZE: usize = 64 * 1024;
-/// The most frames that wait to be written.
+/// Frames are batched into one write until it holds this many bytes.
+const WRITE_BATCH_SIZE: usize = 64 * 1024;
+/// The capacity of the queue of messages to be written.
 pub const OUTGOING_CAPACITY: usize = 1024;
 
 /// Why a connection between two nodes ended.
@@ -32,12 +32,12 @@
 
 impl std::error::Error for ConnectionError {}
 
-/// Reads frames.
+/// Reads the frames of one connection.
 pub struct FrameReader {
     stream: OwnedReadHalf<TcpStream>,
     codec: Codec,
     buffer: BytesMut,
-    space: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 impl FrameReader {
@@ -48,7 +48,7 @@
             stream,
             codec: Codec::default(),
             buffer: BytesMut::new(),
-            space: vec![0; READ_SIZE],
+            read_buffer: vec![0; READ_SIZE],
         }
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns the hello that must be the first frame.
+    /// Returns the hello, which must be the first frame and have the protocol version of this node.
     pub async fn hello(&mut self) -> Result<Hello, ConnectionError> {
         match self.next().await? {
             Body::Hello(hello) if hello.version == VERSION => Ok(hello),
@@ -76,20 +76,20 @@
     }
 
     async fn fill(&mut self) -> Result<(), ConnectionError> {
-        let space = std::mem::take(&mut self.space);
-        let (result, space) = self.stream.read(space).await;
+        let read_buffer = std::mem::take(&mut self.read_buffer);
+        let (result, read_buffer) = self.stream.read(read_buffer).await;
         let count = result.map_err(ConnectionError::Io)?;
         if count == 0 {
             return Err(ConnectionError::Closed);
         }
-        self.buffer.extend_from_slice(&space[..count]);
-        self.space = space;
-        self.space.resize(READ_SIZE, 0);
+        self.buffer.extend_from_slice(&read_buffer[..count]);
+        self.read_buffer = read_buffer;
+        self.read_buffer.resize(READ_SIZE, 0);
         Ok(())
     }
 }
 
-/// Writes the frames that come through `outgoing` until it is closed.
+/// Writes each message received from `outgoing` as a frame until the channel is closed.
 pub async fn write_frames(
     mut stream: OwnedWriteHalf<TcpStream>,
     mut outgoing: mpsc::Receiver<Body>,
@@ -98,7 +98,7 @@
     let mut buffer = BytesMut::new();
     while let Some(body) = outgoing.next().await {
         encode(&mut codec, body, &mut buffer)?;
-        while buffer.len() < GATHER_SIZE {
+        while buffer.len() < WRITE_BATCH_SIZE {
             let Ok(body) = outgoing.try_recv() else {
                 break;
             };
@@ -117,7 +117,7 @@
     codec.encode(&frame, buffer).map_err(ConnectionError::Frame)
 }
 
-/// Returns the first message of a connection.
+/// Returns the hello that opens a connection, sent by `member`.
 #[must_use]
 pub fn hello(member: Member) -> Body {
     Body::Hello(Hello {
