--- a/crates/net/src/http/bounded.rs
+++ b/crates/net/src/http/bounded.rs
@@ -1,4 +1,4 @@
-//! A byte stream that ends with an error once a budget of bytes is used up.
+//! A byte stream that fails once its byte budget is used up.
 
 use std::cell::Cell;
 use std::io;
@@ -8,26 +8,26 @@
 use monoio::buf::{IoBufMut, IoVecBufMut};
 use monoio::io::AsyncReadRent;
 
-/// How many more bytes a reader may take in.
+/// The number of bytes that may still be read, shared with the owner of the reader.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Budget(Rc<Cell<usize>>);
 
 impl Budget {
-    /// Allows this many more bytes from now on.
-    pub(crate) fn allow(&self, bytes: usize) {
+    /// Sets the budget to this many bytes.
+    pub(crate) fn reset(&self, bytes: usize) {
         self.0.set(bytes);
     }
 
-    fn take(&self, bytes: usize) {
+    fn consume(&self, bytes: usize) {
         self.0.set(self.0.get().saturating_sub(bytes));
     }
 
-    fn is_spent(&self) -> bool {
+    fn is_exhausted(&self) -> bool {
         self.0.get() == 0
     }
 }
 
-/// A reader that stops at the budget; it overshoots by at most one read.
+/// A reader that fails once the budget is used up; it exceeds the budget by at most one read.
 #[derive(Debug)]
 pub(crate) struct Bounded<R> {
     inner: R,
@@ -40,29 +40,29 @@
     }
 }
 
-fn spent() -> io::Error {
+fn exhausted() -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, "message too large")
 }
 
 impl<R: AsyncReadRent> AsyncReadRent for Bounded<R> {
     async fn read<T: IoBufMut>(&mut self, buffer: T) -> BufResult<usize, T> {
-        if self.budget.is_spent() {
-            return (Err(spent()), buffer);
+        if self.budget.is_exhausted() {
+            return (Err(exhausted()), buffer);
         }
         let (result, buffer) = self.inner.read(buffer).await;
         if let Ok(count) = result {
-            self.budget.take(count);
+            self.budget.consume(count);
         }
         (result, buffer)
     }
 
     async fn readv<T: IoVecBufMut>(&mut self, buffer: T) -> BufResult<usize, T> {
-        if self.budget.is_spent() {
-            return (Err(spent()), buffer);
+        if self.budget.is_exhausted() {
+            return (Err(exhausted()), buffer);
         }
         let (result, buffer) = self.inner.readv(buffer).await;
         if let Ok(count) = result {
-            self.budget.take(count);
+            self.budget.consume(count);
         }
         (result, buffer)
     }
--- a/crates/net/src/http/client.rs
+++ b/crates/net/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Requests to one server over pooled connections, one exchange at a time on each.
+//! Sends requests to one server over pooled connections, one exchange at a time on each.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr, TcpStream as StdStream};
@@ -19,24 +19,24 @@
 use crate::http::message::{Request, Response};
 use crate::http::reader::{InputError, ResponseReader};
 
-/// How long an unused connection is kept.
-const IDLE_TIME: Duration = Duration::from_secs(20);
+/// How long an unused connection may still be reused.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long opening a connection may take.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an exchange gave no answer.
+/// Why an exchange gave no response.
 #[derive(Debug, Display)]
 pub enum ExchangeError {
     /// no connection, nothing was sent: {0}
     Connect(DialError),
-    /// the time ran out before anything was sent
+    /// timed out before anything was sent
     LateBeforeSending,
-    /// the time ran out while waiting for the answer
+    /// timed out while waiting for the response
     Late,
     /// the connection was lost after the request was sent
     Lost,
-    /// the answer was refused: {0}
+    /// the response was rejected: {0}
     Answer(InputError),
 }
 
@@ -50,17 +50,17 @@
     }
 }
 
-/// One open connection.
+/// An open connection to the server.
 struct Connection {
     reader: ResponseReader,
     writer: GenericEncoder<OwnedWriteHalf<TcpStream>>,
     probe: StdStream,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl Connection {
-    fn is_fresh(&self) -> bool {
-        self.used.elapsed() < IDLE_TIME && is_quiet(&self.probe)
+    fn is_reusable(&self) -> bool {
+        self.last_used.elapsed() < IDLE_TIMEOUT && is_quiet(&self.probe)
     }
 
     async fn exchange(
@@ -92,7 +92,7 @@
     }
 }
 
-/// Connections to one server.
+/// A pool of connections to one server.
 pub struct Pool {
     target: SocketAddr,
     source: Option<IpAddr>,
@@ -103,7 +103,7 @@
 }
 
 impl Pool {
-    /// Returns an empty pool that keeps at most `capacity` unused connections.
+    /// Returns an empty pool that keeps at most `capacity` idle connections.
     #[must_use]
     pub fn new(target: SocketAddr, source: Option<IpAddr>, capacity: usize) -> Self {
         let host = HeaderValue::from_str(&target.to_string());
@@ -123,32 +123,35 @@
         self.target
     }
 
-    /// Returns how many unused connections are open.
+    /// Returns the number of idle connections.
     #[must_use]
     pub fn idle_count(&self) -> usize {
         self.idle.borrow().len()
     }
 
-    /// Opens connections one after the other until `count` are unused.
+    /// Opens connections one after the other until `count` are idle, or as many as the pool keeps.
     pub async fn warm(&self, count: usize) -> Result<(), ExchangeError> {
         while self.idle_count() < count.min(self.capacity) {
-            let connection = self.connect(CONNECT_TIME).await?;
+            let connection = self.connect(CONNECT_TIMEOUT).await?;
             self.idle.borrow_mut().push(connection);
         }
         Ok(())
     }
 
-    /// Sends one request and returns its whole answer.
+    /// Sends one request and returns the complete response.
     ///
-    /// A connection whose exchange did not end well is closed, never reused.
+    /// After a failed exchange the connection is closed, never reused.
     pub async fn exchange(
         &self,
         request: Request,
         deadline: Instant,
     ) -> Result<Response, ExchangeError> {
-        let mut connection = match self.take() {
+        let mut connection = match self.pop_idle() {
             Some(connection) => connection,
-            None => self.connect(remaining(deadline)?.min(CONNECT_TIME)).await?,
+            None => {
+                self.connect(remaining(deadline)?.min(CONNECT_TIMEOUT))
+                    .await?
+            }
         };
         let exchange = connection.exchange(request, &self.host);
         let deadline = monoio::time::Instant::from_std(deadline);
@@ -156,24 +159,24 @@
             Err(_) => return Err(ExchangeError::Late),
             Ok(result) => result?,
         };
-        if !closes(&response.headers) {
-            self.give_back(connection);
+        if !has_connection_close(&response.headers) {
+            self.put_idle(connection);
         }
         Ok(response)
     }
 
-    fn take(&self) -> Option<Connection> {
+    fn pop_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(connection) = idle.pop() {
-            if connection.is_fresh() {
+            if connection.is_reusable() {
                 return Some(connection);
             }
         }
         None
     }
 
-    fn give_back(&self, mut connection: Connection) {
-        connection.used = Instant::now();
+    fn put_idle(&self, mut connection: Connection) {
+        connection.last_used = Instant::now();
         let mut idle = self.idle.borrow_mut();
         if idle.len() < self.capacity {
             idle.push(connection);
@@ -189,7 +192,7 @@
             reader: ResponseReader::new(read, self.limits),
             writer: GenericEncoder::new(write),
             probe: dialed.probe,
-            used: Instant::now(),
+            last_used: Instant::now(),
         })
     }
 }
@@ -202,7 +205,7 @@
     Ok(left)
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let value = headers.get(CONNECTION).map(HeaderValue::as_bytes);
     value.is_some_and(|value| value.eq_ignore_ascii_case(b"close"))
 }
--- a/crates/net/src/http/limits.rs
+++ b/crates/net/src/http/limits.rs
@@ -1,64 +1,64 @@
-//! What a message may at most take up.
+//! Limits on the size of messages, on times and on connections.
 
 use std::time::Duration;
 
-/// The most bytes of a request or status line with its headers.
+/// The maximum size of a request or status line with its headers, in bytes.
 ///
-/// The decoder of the library ends the process on a header name of more than
-/// 64 KiB, so this stays well under that.
-const HEAD_BYTES: usize = 16 * 1024;
+/// The decoder of `monoio-http` crashes the process on a header name of more than 64 KiB, so the
+/// limit stays well below that.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The most bytes of a request body.
-const REQUEST_BODY_BYTES: usize = 1024 * 1024;
+/// The maximum size of a request body, in bytes.
+const MAX_REQUEST_BODY_BYTES: usize = 1024 * 1024;
 
-/// The most bytes of an answer's body: a register bundle or route pack.
-const RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// The maximum size of a response body, in bytes; the largest are register bundles and route packs.
+const MAX_RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// How long a connection may take to bring its next whole request.
-const READ_TIME: Duration = Duration::from_mins(1);
+/// How long a connection may take to deliver its next complete request.
+const READ_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// How long a peer may take to accept an answer.
-const WRITE_TIME: Duration = Duration::from_secs(30);
+/// How long a peer may take to accept a response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The most connections open at once on one port.
-const CONNECTIONS: usize = 4096;
+/// The maximum number of open connections of one port.
+const MAX_CONNECTIONS: usize = 4096;
 
-/// Bounds on messages, times and connections.
+/// Limits on messages, times and connections.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// The most bytes of a request or status line with its headers.
+    /// The maximum size of a request or status line with its headers, in bytes.
     pub head_bytes: usize,
-    /// The most bytes of a body that is received.
+    /// The maximum size of a received body, in bytes.
     pub body_bytes: usize,
-    /// How long a connection may take to bring its next whole request.
+    /// How long a connection may take to deliver its next complete request.
     pub read_time: Duration,
-    /// How long a peer may take to accept an answer.
+    /// How long a peer may take to accept a response.
     pub write_time: Duration,
-    /// The most connections open at once on one port.
+    /// The maximum number of open connections of one port.
     pub connections: usize,
-    /// How long the port is busy with accepting one connection.
+    /// An artificial delay for each accepted connection, during which no other is accepted.
     pub accept_time: Duration,
 }
 
 impl Limits {
-    /// Returns the bounds for a port that receives requests.
+    /// Returns the limits of a port that receives requests.
     #[must_use]
     pub const fn server() -> Self {
         Self {
-            head_bytes: HEAD_BYTES,
-            body_bytes: REQUEST_BODY_BYTES,
-            read_time: READ_TIME,
-            write_time: WRITE_TIME,
-            connections: CONNECTIONS,
+            head_bytes: MAX_HEAD_BYTES,
+            body_bytes: MAX_REQUEST_BODY_BYTES,
+            read_time: READ_TIMEOUT,
+            write_time: WRITE_TIMEOUT,
+            connections: MAX_CONNECTIONS,
             accept_time: Duration::ZERO,
         }
     }
 
-    /// Returns the bounds for a connection that receives answers.
+    /// Returns the limits of a connection that receives responses.
     #[must_use]
     pub const fn client() -> Self {
         Self {
-            body_bytes: RESPONSE_BODY_BYTES,
+            body_bytes: MAX_RESPONSE_BODY_BYTES,
             ..Self::server()
         }
     }
--- a/crates/net/src/http/message.rs
+++ b/crates/net/src/http/message.rs
@@ -1,17 +1,17 @@
-//! Whole requests and answers, with their bodies in memory.
+//! Complete requests and responses, with their bodies in memory.
 
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderName};
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// The method.
     pub method: Method,
     /// The path with its query.
     pub path: String,
-    /// The headers, without those that frame the body.
+    /// The headers, without those for the message framing.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Returns the text of a header, if it is there and is text.
+    /// Returns the value of a header, if it is present and consists of visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the request with a header set; a value that no header can hold is left out.
+    /// Returns the request with a header set; a value that is not a valid header value is ignored.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: &str) -> Self {
         set(&mut self.headers, name, value);
@@ -43,19 +43,19 @@
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Response {
     /// The status.
     pub status: StatusCode,
-    /// The headers, without those that frame the body.
+    /// The headers, without those for the message framing.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// Returns an answer without headers.
+    /// Returns a response without headers.
     #[must_use]
     pub fn new(status: StatusCode, body: impl Into<Bytes>) -> Self {
         Self {
@@ -65,25 +65,25 @@
         }
     }
 
-    /// Returns an answer with a JSON body.
+    /// Returns a response with a JSON body.
     #[must_use]
     pub fn json(status: StatusCode, body: impl Into<Bytes>) -> Self {
         Self::new(status, body).with(CONTENT_TYPE.as_str(), "application/json")
     }
 
-    /// Returns an answer with a plain text body.
+    /// Returns a response with a plain text body.
     #[must_use]
     pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Self {
         Self::new(status, body).with(CONTENT_TYPE.as_str(), "text/plain; charset=utf-8")
     }
 
-    /// Returns the text of a header, if it is there and is text.
+    /// Returns the value of a header, if it is present and consists of visible ASCII.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the answer with a header set; a value that no header can hold is left out.
+    /// Returns the response with a header set; an invalid name or value is ignored.
     #[must_use]
     pub fn with(mut self, name: &str, value: &str) -> Self {
         set(&mut self.headers, name, value);
--- a/crates/net/src/http/mod.rs
+++ b/crates/net/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 through `monoio-http`, with the bounds that its decoder lacks.
+//! HTTP/1.1 through `monoio-http`, with the limits that its decoder lacks.
 
 mod bounded;
 mod client;
--- a/crates/net/src/http/reader.rs
+++ b/crates/net/src/http/reader.rs
@@ -1,4 +1,4 @@
-//! Reads whole, bounded messages from a connection.
+//! Reads complete messages of limited size from a connection.
 
 use bytes::Bytes;
 use displaydoc::Display;
@@ -18,28 +18,28 @@
 use crate::http::limits::Limits;
 use crate::http::message::{Request, Response};
 
-/// Room beside a body for the framing of its chunks and for bytes read ahead.
+/// Bytes allowed in addition to a body, for chunk framing and for bytes read ahead.
 const FRAMING_SLACK: usize = 64 * 1024;
 
-/// Why a message was refused.
+/// Why a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum InputError {
-    /// the message is malformed, too large in its head, or was cut
+    /// the message is malformed or truncated, or its headers are too large
     Malformed,
-    /// the length of the body is given twice or in two ways
+    /// the body length is given more than once or in more than one way
     Ambiguous,
     /// a body needs a Content-Length
     LengthRequired,
-    /// the body is larger than the bound
+    /// the body exceeds the size limit
     TooLarge,
-    /// the body ended early
+    /// the connection ended within the body
     Cut,
 }
 
 impl std::error::Error for InputError {}
 
 impl InputError {
-    /// Returns the status with which a server refuses the message.
+    /// Returns the status of the response to a rejected request.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::Malformed | Self::Ambiguous | Self::Cut => StatusCode::BAD_REQUEST,
@@ -49,7 +49,7 @@
     }
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 enum Framing {
     Absent,
     Length(usize),
@@ -74,7 +74,7 @@
     Ok(Framing::Length(length))
 }
 
-/// Returns whether the connection ended or what came over it was wrong.
+/// Distinguishes a lost connection from malformed input.
 fn classify(error: &HttpError) -> InputError {
     match error {
         HttpError::IOError(_)
@@ -107,17 +107,17 @@
         }
     }
 
-    /// Returns the next request with the reader itself, or nothing at the end of the stream.
+    /// Returns the reader and the next request, or `None` at the end of the stream.
     ///
-    /// Taking the reader by value lets a caller wait for the next request
-    /// while it still works on the present one, without losing bytes.
+    /// Taking the reader by value lets the caller wait for the next request while it handles the
+    /// current one, without losing bytes.
     pub(crate) async fn advance(mut self) -> (Self, Result<Option<Request>, InputError>) {
         let result = self.read().await;
         (self, result)
     }
 
     async fn read(&mut self) -> Result<Option<Request>, InputError> {
-        self.budget.allow(self.limits.head_bytes);
+        self.budget.reset(self.limits.head_bytes);
         let Some(decoded) = self.decoder.next().await else {
             return Ok(None);
         };
@@ -129,7 +129,7 @@
             }
             Framing::Length(_) | Framing::Absent => {}
         }
-        self.budget.allow(self.limits.body_bytes + FRAMING_SLACK);
+        self.budget.reset(self.limits.body_bytes + FRAMING_SLACK);
         self.decoder
             .fill_payload()
             .await
@@ -144,7 +144,7 @@
     }
 }
 
-/// Reads the answers of one connection.
+/// Reads the responses of one connection.
 pub(crate) struct ResponseReader {
     decoder: ResponseDecoder<Bounded<OwnedReadHalf<TcpStream>>>,
     budget: Budget,
@@ -162,12 +162,12 @@
         }
     }
 
-    /// Returns the next whole answer; an answer without a stated end is refused.
+    /// Returns the next complete response; one whose body ends with the connection is rejected.
     pub(crate) async fn read(&mut self) -> Result<Response, InputError> {
-        self.budget.allow(self.limits.head_bytes);
+        self.budget.reset(self.limits.head_bytes);
         let decoded = self.decoder.next().await.ok_or(InputError::Cut)?;
         let (head, body) = decoded.map_err(|error| classify(&error))?.into_parts();
-        let bodiless = matches!(
+        let has_no_body = matches!(
             head.status,
             StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
         );
@@ -175,10 +175,10 @@
             Framing::Length(length) if length > self.limits.body_bytes => {
                 return Err(InputError::TooLarge);
             }
-            Framing::Absent if !bodiless => return Err(InputError::LengthRequired),
+            Framing::Absent if !has_no_body => return Err(InputError::LengthRequired),
             Framing::Length(_) | Framing::Chunked | Framing::Absent => {}
         }
-        self.budget.allow(self.limits.body_bytes + FRAMING_SLACK);
+        self.budget.reset(self.limits.body_bytes + FRAMING_SLACK);
         self.decoder
             .fill_payload()
             .await
--- a/crates/net/src/http/server.rs
+++ b/crates/net/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serves requests on a port, one task for each connection.
+//! Serves HTTP requests on a port, with one task for each connection.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -23,20 +23,20 @@
 use crate::http::reader::{InputError, RequestReader};
 use crate::task::{self, Guard};
 
-/// Answers the requests of a port.
+/// Handles the requests of a port.
 pub trait Handler: 'static {
-    /// Returns the answer to one request.
+    /// Returns the response to one request.
     ///
-    /// The future is dropped when the caller closes its connection.
+    /// The future is dropped when the client closes the connection.
     fn handle(&self, request: Request) -> impl Future<Output = Response>;
 
-    /// Returns true once connections should end after their present answer.
+    /// Returns true once connections should be closed after the current response.
     fn is_closing(&self) -> bool {
         false
     }
 }
 
-/// A port that is open but not served yet.
+/// A bound port that is not served yet.
 #[derive(Debug)]
 pub struct Port {
     /// The name used in log events.
@@ -46,7 +46,7 @@
 }
 
 impl Port {
-    /// Opens a port on `address`.
+    /// Binds a port to `address`.
     pub fn open(name: &'static str, address: SocketAddr, limits: Limits) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         Ok(Self {
@@ -56,7 +56,8 @@
         })
     }
 
-    /// Returns the address that the port really has.
+    /// Returns the bound address; its port number is the one assigned by the system if zero was
+    /// requested.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
@@ -65,7 +66,7 @@
 type Next = LocalBoxFuture<'static, (RequestReader, Result<Option<Request>, InputError>)>;
 type Writer = GenericEncoder<OwnedWriteHalf<TcpStream>>;
 
-/// Serves the port for as long as the task lives.
+/// Serves the port until the task is dropped.
 pub async fn serve<H: Handler>(port: Port, handler: Rc<H>) {
     let open = Rc::new(Cell::new(0));
     loop {
@@ -83,12 +84,12 @@
         if !port.limits.accept_time.is_zero() {
             sleep(port.limits.accept_time).await;
         }
-        let held = Guard::new(&open);
+        let guard = Guard::new(&open);
         let handler = Rc::clone(&handler);
         let (name, limits) = (port.name, port.limits);
         task::spawn("http connection", async move {
             connection(stream, handler, name, limits).await;
-            drop(held);
+            drop(guard);
         });
     }
 }
@@ -117,31 +118,32 @@
                     &catalogue::INPUT_REFUSED,
                     &[("port", &port), ("reason", &error)],
                 );
-                let refusal = Response::text(error.status(), error.to_string());
-                answer(&mut writer, refusal, true, limits).await;
+                let rejection = Response::text(error.status(), error.to_string());
+                respond(&mut writer, rejection, true, limits).await;
                 return;
             }
         };
-        let last = asks_to_close(&request.headers);
+        let last = has_connection_close(&request.headers);
         next = reader.advance().boxed_local();
         let Some((response, following)) = handle(&*handler, request, next).await else {
             return;
         };
         next = following;
         let close = last || handler.is_closing();
-        if !answer(&mut writer, response, close, limits).await || close {
+        if !respond(&mut writer, response, close, limits).await || close {
             return;
         }
     }
 }
 
-/// Returns the answer with the wait for the next request, or nothing if the caller left.
+/// Returns the response and the pending read of the next request, or `None` if the client closed
+/// the connection.
 async fn handle<H: Handler>(handler: &H, request: Request, next: Next) -> Option<(Response, Next)> {
-    let work = std::pin::pin!(handler.handle(request));
-    match select(work, next).await {
+    let handling = std::pin::pin!(handler.handle(request));
+    match select(handling, next).await {
         Either::Left((response, next)) => Some((response, next)),
-        Either::Right(((reader, Ok(Some(request))), work)) => {
-            let response = work.await;
+        Either::Right(((reader, Ok(Some(request))), handling)) => {
+            let response = handling.await;
             let ready = std::future::ready((reader, Ok(Some(request))));
             Some((response, ready.boxed_local()))
         }
@@ -149,12 +151,12 @@
     }
 }
 
-fn asks_to_close(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let value = headers.get(CONNECTION).map(HeaderValue::as_bytes);
     value.is_some_and(|value| value.eq_ignore_ascii_case(b"close"))
 }
 
-async fn answer(writer: &mut Writer, response: Response, close: bool, limits: Limits) -> bool {
+async fn respond(writer: &mut Writer, response: Response, close: bool, limits: Limits) -> bool {
     let sent = timeout(limits.write_time, send(writer, response, close)).await;
     matches!(sent, Ok(true))
 }
