--- a/crates/net/src/transparent/arrivals.rs
+++ b/crates/net/src/transparent/arrivals.rs
@@ -1,4 +1,4 @@
-//! When the bytes of a connection came.
+//! Records when the bytes of a connection arrived.
 
 #[cfg(test)]
 mod tests;
@@ -6,36 +6,36 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Bytes that came within this time of each other are kept under one moment, the first.
-const STEP: Duration = Duration::from_millis(50);
+/// Bytes that arrive within this time after a recorded arrival are recorded under that time.
+const RESOLUTION: Duration = Duration::from_millis(50);
 
-/// When the bytes of a connection came that have not been taken yet.
+/// The arrival times of the bytes of a connection that have not been consumed yet.
 #[derive(Debug, Default)]
 pub(super) struct Arrivals {
-    /// How many bytes have come in all.
-    read: u64,
-    /// Up to which byte had come by when, in order.
+    /// The total number of bytes received.
+    total: u64,
+    /// The total number of bytes received up to an arrival time, and that time, in order.
     marks: VecDeque<(u64, Instant)>,
 }
 
 impl Arrivals {
-    /// Notes that bytes came while `waiting` earlier ones had not been taken.
-    pub(super) fn note(&mut self, count: usize, waiting: usize, now: Instant) {
-        let taken = self.read - waiting as u64;
-        while self.marks.front().is_some_and(|(end, _)| *end <= taken) {
+    /// Records the arrival of `count` bytes while `unconsumed` earlier ones were still buffered.
+    pub(super) fn record(&mut self, count: usize, unconsumed: usize, now: Instant) {
+        let consumed = self.total - unconsumed as u64;
+        while self.marks.front().is_some_and(|(end, _)| *end <= consumed) {
             self.marks.pop_front();
         }
-        self.read += count as u64;
+        self.total += count as u64;
         match self.marks.back_mut() {
-            Some((end, at)) if now.saturating_duration_since(*at) < STEP => *end = self.read,
-            _ => self.marks.push_back((self.read, now)),
+            Some((end, at)) if now.saturating_duration_since(*at) < RESOLUTION => *end = self.total,
+            _ => self.marks.push_back((self.total, now)),
         }
     }
 
-    /// Returns when the last byte that was taken came, while `waiting` later ones have come.
-    pub(super) fn last_taken(&self, waiting: usize) -> Option<Instant> {
-        let taken = self.read - waiting as u64;
-        let mark = self.marks.iter().find(|(end, _)| *end >= taken);
+    /// Returns when the last consumed byte arrived; `unconsumed` later ones are still buffered.
+    pub(super) fn last_consumed(&self, unconsumed: usize) -> Option<Instant> {
+        let consumed = self.total - unconsumed as u64;
+        let mark = self.marks.iter().find(|(end, _)| *end >= consumed);
         mark.map(|(_, at)| *at)
     }
 }
--- a/crates/net/src/transparent/chunked/tests.rs
+++ b/crates/net/src/transparent/chunked/tests.rs
@@ -1,10 +1,10 @@
-//! Chunked bodies, however their bytes arrive.
+//! Chunked bodies that arrive in pieces of every size, and malformed ones.
 
 use bytes::BytesMut;
 
 use crate::transparent::chunked::{Decoder, Malformed};
 
-/// Decodes `text` in pieces of this many bytes; returns the body and what follows it.
+/// Decodes `text` in pieces of `piece` bytes; returns the body and the bytes after it.
 fn decode(text: &[u8], piece: usize) -> Result<(Vec<u8>, Vec<u8>), Malformed> {
     let (mut input, mut body) = (BytesMut::new(), BytesMut::new());
     let mut decoder = Decoder::new();
@@ -21,7 +21,7 @@
 fn in_any_pieces() {
     let text = b"4\r\nWiki\r\n6;name=value\r\npedia \r\nE\r\nin \r\n\r\nchunks.\r\n0\r\nX-A: 1\r\n\r\nnext";
     for piece in 1..=text.len() {
-        let (body, rest) = decode(text, piece).expect("it is sound");
+        let (body, rest) = decode(text, piece).expect("a valid chunked body");
         assert_eq!(body, b"Wikipedia in \r\n\r\nchunks.", "pieces of {piece}");
         assert_eq!(rest, b"next", "pieces of {piece}");
     }
--- a/crates/net/src/transparent/framing.rs
+++ b/crates/net/src/transparent/framing.rs
@@ -1,4 +1,4 @@
-//! Where the body of a message ends.
+//! Message framing: determines where the body of a message ends.
 
 #[cfg(test)]
 mod tests;
@@ -6,26 +6,26 @@
 use crate::transparent::fields::Fields;
 use crate::transparent::head::HeadError;
 
-/// Where the body of a message ends.
+/// How the end of a message body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     None,
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// With the last chunk.
+    /// The body ends with its last chunk.
     Chunked,
-    /// With the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// Returns where the body of a request ends.
+/// Returns the framing of a request body.
 ///
-/// A request whose end can be read in two ways is refused, since two servers
-/// could disagree on where the next one begins.
+/// A request with ambiguous framing is rejected, since two servers could disagree on where the next
+/// request begins (request smuggling).
 pub fn request_framing(fields: &Fields) -> Result<Framing, HeadError> {
-    let length = stated_length(fields)?;
-    match (transfer_coding(fields)?, length) {
+    let length = content_length(fields)?;
+    match (is_chunked(fields)?, length) {
         (true, Some(_)) => Err(HeadError::Ambiguous),
         (true, None) => Ok(Framing::Chunked),
         (false, Some(0) | None) => Ok(Framing::None),
@@ -33,20 +33,22 @@
     }
 }
 
-/// Returns where the body of an answer with this status ends.
+/// Returns the framing of the body of a response with this status.
+///
+/// `to_head` says that the response is to a `HEAD` request.
 pub fn response_framing(status: u16, to_head: bool, fields: &Fields) -> Result<Framing, HeadError> {
-    let bodiless = to_head || status < 200 || status == 204 || status == 304;
-    let length = stated_length(fields)?;
-    match (transfer_coding(fields)?, length) {
+    let has_no_body = to_head || status < 200 || status == 204 || status == 304;
+    let length = content_length(fields)?;
+    match (is_chunked(fields)?, length) {
         (true, Some(_)) => Err(HeadError::Ambiguous),
-        _ if bodiless => Ok(Framing::None),
+        _ if has_no_body => Ok(Framing::None),
         (true, None) => Ok(Framing::Chunked),
         (false, Some(length)) => Ok(Framing::Length(length)),
         (false, None) => Ok(Framing::UntilClose),
     }
 }
 
-fn stated_length(fields: &Fields) -> Result<Option<u64>, HeadError> {
+fn content_length(fields: &Fields) -> Result<Option<u64>, HeadError> {
     let mut lengths = fields.all("content-length");
     let Some(first) = lengths.next() else {
         return Ok(None);
@@ -54,16 +56,16 @@
     if lengths.next().is_some() {
         return Err(HeadError::Ambiguous);
     }
-    let digits = first.iter().all(u8::is_ascii_digit) && !first.is_empty();
+    let is_number = first.iter().all(u8::is_ascii_digit) && !first.is_empty();
     let text = std::str::from_utf8(first).map_err(|_| HeadError::Malformed)?;
     match text.parse() {
-        Ok(length) if digits => Ok(Some(length)),
+        Ok(length) if is_number => Ok(Some(length)),
         _ => Err(HeadError::Malformed),
     }
 }
 
-/// Returns true for a chunked body; no other coding is known.
-fn transfer_coding(fields: &Fields) -> Result<bool, HeadError> {
+/// Returns true for a chunked body; other transfer codings are rejected.
+fn is_chunked(fields: &Fields) -> Result<bool, HeadError> {
     let mut codings = fields.all("transfer-encoding");
     let Some(first) = codings.next() else {
         return Ok(false);
--- a/crates/net/src/transparent/framing/tests.rs
+++ b/crates/net/src/transparent/framing/tests.rs
@@ -1,4 +1,4 @@
-//! Where bodies end.
+//! Framing of request and response bodies, and ambiguous or malformed framing.
 
 use bytes::Bytes;
 
@@ -11,7 +11,7 @@
     request_framing(&head.fields)
 }
 
-fn answer(status: u16, fields: &str) -> Result<Framing, HeadError> {
+fn response(status: u16, fields: &str) -> Result<Framing, HeadError> {
     let text = format!("HTTP/1.1 {status} X\r\n{fields}\r\n");
     let head = ResponseHead::parse(&Bytes::from(text))?;
     response_framing(head.status, false, &head.fields)
@@ -44,9 +44,12 @@
 
 #[test]
 fn of_answers() {
-    assert_eq!(answer(200, ""), Ok(Framing::UntilClose));
-    assert_eq!(answer(200, "Content-Length: 3\r\n"), Ok(Framing::Length(3)));
-    assert_eq!(answer(204, ""), Ok(Framing::None));
-    assert_eq!(answer(304, "Content-Length: 3\r\n"), Ok(Framing::None));
-    assert_eq!(answer(100, ""), Ok(Framing::None));
+    assert_eq!(response(200, ""), Ok(Framing::UntilClose));
+    assert_eq!(
+        response(200, "Content-Length: 3\r\n"),
+        Ok(Framing::Length(3))
+    );
+    assert_eq!(response(204, ""), Ok(Framing::None));
+    assert_eq!(response(304, "Content-Length: 3\r\n"), Ok(Framing::None));
+    assert_eq!(response(100, ""), Ok(Framing::None));
 }
--- a/crates/net/src/transparent/head.rs
+++ b/crates/net/src/transparent/head.rs
@@ -1,4 +1,4 @@
-//! Parses request and status lines with their fields, through `httparse`.
+//! Parses the start line and header fields of a message with `httparse`.
 
 use bytes::Bytes;
 use displaydoc::Display;
@@ -6,43 +6,43 @@
 
 use crate::transparent::fields::{Field, Fields};
 
-/// The most fields of a head; more are refused.
-const MOST_FIELDS: usize = 100;
+/// The maximum number of header fields; a message with more is rejected.
+const MAX_FIELDS: usize = 100;
 
-/// Why a head was refused.
+/// Why the head of a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum HeadError {
     /// the head is malformed
     Malformed,
     /// the head has too many fields or bytes
     TooLarge,
-    /// the length of the body is given twice or in two ways
+    /// the body length is given more than once or in more than one way
     Ambiguous,
-    /// the transfer coding is not known
+    /// the transfer coding is not supported
     Coding,
 }
 
 impl std::error::Error for HeadError {}
 
-/// The head of a request.
+/// The request line and header fields of a request.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
     /// The method.
     pub method: Bytes,
-    /// The path with its query, as it was sent.
+    /// The path with its query, as received.
     pub target: Bytes,
     /// True for HTTP/1.1, false for HTTP/1.0.
     pub is_1_1: bool,
-    /// The fields.
+    /// The header fields.
     pub fields: Fields,
 }
 
 impl RequestHead {
-    /// Parses the head at the start of `bytes`, which must hold a whole one.
+    /// Parses the head at the start of `bytes`, which must contain a complete one.
     pub fn parse(bytes: &Bytes) -> Result<Self, HeadError> {
-        let mut headers = [EMPTY_HEADER; MOST_FIELDS];
+        let mut headers = [EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut headers);
-        complete(request.parse(bytes))?;
+        require_complete(request.parse(bytes))?;
         let method = request.method.ok_or(HeadError::Malformed)?;
         let target = request.path.ok_or(HeadError::Malformed)?;
         Ok(Self {
@@ -60,25 +60,25 @@
     }
 }
 
-/// The head of an answer.
+/// The status line and header fields of a response.
 #[derive(Debug, Clone)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The words after the status.
+    /// The reason phrase.
     pub reason: Bytes,
     /// True for HTTP/1.1, false for HTTP/1.0.
     pub is_1_1: bool,
-    /// The fields.
+    /// The header fields.
     pub fields: Fields,
 }
 
 impl ResponseHead {
-    /// Parses the head at the start of `bytes`, which must hold a whole one.
+    /// Parses the head at the start of `bytes`, which must contain a complete one.
     pub fn parse(bytes: &Bytes) -> Result<Self, HeadError> {
-        let mut headers = [EMPTY_HEADER; MOST_FIELDS];
+        let mut headers = [EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut headers);
-        complete(response.parse(bytes))?;
+        require_complete(response.parse(bytes))?;
         let reason = response.reason.unwrap_or_default();
         Ok(Self {
             status: response.code.ok_or(HeadError::Malformed)?,
@@ -95,7 +95,7 @@
     }
 }
 
-fn complete(parsed: httparse::Result<usize>) -> Result<(), HeadError> {
+fn require_complete(parsed: httparse::Result<usize>) -> Result<(), HeadError> {
     match parsed {
         Ok(Status::Complete(_)) => Ok(()),
         Err(httparse::Error::TooManyHeaders) => Err(HeadError::TooLarge),
--- a/crates/net/src/transparent/mod.rs
+++ b/crates/net/src/transparent/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 messages that are passed on as they came.
+//! HTTP/1.1 messages that are forwarded without changing their fields.
 //!
-//! [`crate::http`] holds whole messages of known kinds. Here the fields of a
-//! head keep their order and case, bodies may be chunked or end with their
-//! connection, and every byte that follows a message is accounted for.
+//! [`crate::http`] handles complete messages whose form is known. Here the header fields keep their
+//! order and case, a body may be chunked or end with the connection, and the bytes that follow a
+//! message stay available to the caller.
 
 mod arrivals;
 mod chunked;
--- a/crates/net/src/transparent/reader.rs
+++ b/crates/net/src/transparent/reader.rs
@@ -1,4 +1,4 @@
-//! Reads heads and bodies off a connection, within bounds.
+//! Reads the heads and bodies of messages from a connection, within size limits.
 
 use std::io;
 use std::time::Instant;
@@ -15,22 +15,22 @@
 use crate::transparent::framing::Framing;
 use crate::transparent::head::HeadError;
 
-/// The bytes asked for in the first read of a message; most heads fit into it. A connection that
-/// waits holds this much: with 8 KiB a node with a thousand idle clients held 8 MiB for nothing.
-const FIRST_READ: usize = 1024;
-/// The most bytes asked for in one read.
-const MOST_READ: usize = 16 * 1024;
-/// How every answer begins.
-const ANSWER_START: &[u8] = b"HTTP/1.";
-/// The end of a head.
+/// The size of the first read of a message, in bytes; most heads fit into it. An idle connection
+/// keeps a buffer of this size: with 8 KiB, a thousand idle clients took up 8 MiB.
+const INITIAL_READ_SIZE: usize = 1024;
+/// The maximum size of one read, in bytes.
+const MAX_READ_SIZE: usize = 16 * 1024;
+/// The bytes that every response begins with.
+const RESPONSE_PREFIX: &[u8] = b"HTTP/1.";
+/// The bytes that end a head: a line break and an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why no head came.
+/// Why no head could be read.
 #[derive(Debug, Display)]
 pub enum MessageError {
     /// the connection ended between two messages
     Ended,
-    /// the connection ended within a head
+    /// the connection ended within the head of a message
     Cut,
     /// the connection failed: {0}
     Io(io::Error),
@@ -40,22 +40,22 @@
 
 impl std::error::Error for MessageError {}
 
-/// Why no whole body came.
+/// Why no complete body could be read.
 #[derive(Debug, Display)]
 pub enum BodyError {
     /// the connection ended within the body
     Cut,
     /// the connection failed: {0}
     Io(io::Error),
-    /// the chunks of the body are malformed
+    /// the chunked body is malformed
     Malformed,
-    /// the body is larger than the bound
+    /// the body exceeds the size limit
     TooLarge,
 }
 
 impl std::error::Error for BodyError {}
 
-/// What is still to come of a body.
+/// The part of a body that has not been read yet.
 #[derive(Debug)]
 pub struct BodyRest(Rest);
 
@@ -68,7 +68,7 @@
 }
 
 impl BodyRest {
-    /// Returns a body of which nothing has been read.
+    /// Returns the state of a body of which nothing has been read.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         Self(match framing {
@@ -79,20 +79,20 @@
         })
     }
 
-    /// Returns true if it is known that nothing is missing.
+    /// Returns true if the body is known to be complete.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         matches!(self.0, Rest::Ended | Rest::Fixed(0))
     }
 }
 
-/// Reads messages off one connection.
+/// Reads the messages of one connection.
 pub struct Reader {
     stream: OwnedReadHalf<TcpStream>,
     buffer: BytesMut,
     arrivals: Arrivals,
-    /// The read buffer; taken away by a read that is dropped before it ends.
-    space: Vec<u8>,
+    /// The buffer for the next read; empty after a read was dropped before it completed.
+    read_buffer: Vec<u8>,
 }
 
 impl Reader {
@@ -103,60 +103,61 @@
             stream,
             buffer: BytesMut::new(),
             arrivals: Arrivals::default(),
-            space: Vec::new(),
+            read_buffer: Vec::new(),
         }
     }
 
-    /// Returns how many bytes have come that belong to no message read so far.
+    /// Returns the number of bytes that were received but belong to no message read so far.
     #[must_use]
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Returns when the last byte came that was taken off the connection.
+    /// Returns when the last byte read from the buffer arrived.
     ///
-    /// A message that was read late had come before, and its sender waits since then.
+    /// A message may be read from the buffer long after it arrived, and its sender has been waiting
+    /// since then.
     #[must_use]
     pub fn last_arrival(&self) -> Option<Instant> {
-        self.arrivals.last_taken(self.buffer.len())
+        self.arrivals.last_consumed(self.buffer.len())
     }
 
-    /// Drops the bytes that have come.
+    /// Discards the buffered bytes.
     pub fn discard(&mut self) {
         self.buffer.clear();
     }
 
-    /// Reads once; returns how many bytes came, zero at the end of the stream.
+    /// Reads once; returns the number of bytes received, zero at the end of the stream.
     ///
-    /// Dropping the future loses no bytes: a read takes bytes only when it ends.
+    /// Cancel-safe: a read consumes bytes only when it completes.
     pub async fn fill(&mut self) -> io::Result<usize> {
         let into = (&mut self.buffer, &mut self.arrivals);
-        fill(&mut self.stream, into, &mut self.space).await
+        fill(&mut self.stream, into, &mut self.read_buffer).await
     }
 
-    /// Returns true if the other side has neither closed nor sent anything unasked.
+    /// Returns true if the peer has neither closed the connection nor sent unsolicited data.
     pub fn is_quiet(&mut self) -> bool {
         self.buffer.is_empty() && self.fill().now_or_never().is_none()
     }
 
-    /// Returns the bytes of the head of the next request, with the empty line at its end.
+    /// Returns the bytes of the head of the next request, including the empty line at its end.
     ///
-    /// Empty lines before it are passed over, as HTTP asks of servers.
+    /// Skips empty lines before the request line, as HTTP recommends for servers.
     pub async fn request_head(&mut self, limit: usize) -> Result<Bytes, MessageError> {
         self.head(limit, b"").await
     }
 
-    /// Returns the bytes of the head of the next answer, with the empty line at its end.
+    /// Returns the bytes of the head of the next response, including the empty line at its end.
     ///
-    /// Bytes that cannot begin an answer are refused as they come; waiting for
-    /// the end of such a head would last until the deadline.
+    /// Bytes that cannot begin a response are rejected as soon as they arrive, since waiting for
+    /// the end of the head would last until the deadline.
     pub async fn response_head(&mut self, limit: usize) -> Result<Bytes, MessageError> {
-        self.head(limit, ANSWER_START).await
+        self.head(limit, RESPONSE_PREFIX).await
     }
 
     async fn head(&mut self, limit: usize, start: &[u8]) -> Result<Bytes, MessageError> {
-        self.space.truncate(FIRST_READ);
-        self.space.shrink_to(FIRST_READ);
+        self.read_buffer.truncate(INITIAL_READ_SIZE);
+        self.read_buffer.shrink_to(INITIAL_READ_SIZE);
         let mut searched = 0;
         loop {
             while start.is_empty() && self.buffer.starts_with(b"\r\n") {
@@ -189,17 +190,17 @@
         }
     }
 
-    /// Returns the whole body of the message whose head was read last.
+    /// Returns the complete body of the message whose head was read last.
     pub async fn body(&mut self, framing: Framing, limit: usize) -> Result<Bytes, BodyError> {
         self.inspect_body(framing, limit, |_| {}).await
     }
 
-    /// Returns the whole body, and shows `see` each piece of it as it comes.
+    /// Returns the complete body and calls `inspect` with each piece of it as it arrives.
     pub async fn inspect_body(
         &mut self,
         framing: Framing,
         limit: usize,
-        mut see: impl FnMut(&[u8]),
+        mut inspect: impl FnMut(&[u8]),
     ) -> Result<Bytes, BodyError> {
         if matches!(framing, Framing::Length(length) if length > limit as u64) {
             return Err(BodyError::TooLarge);
@@ -210,22 +211,22 @@
             if body.len() + piece.len() > limit {
                 return Err(BodyError::TooLarge);
             }
-            see(&piece);
+            inspect(&piece);
             body.extend_from_slice(&piece);
         }
         Ok(body.freeze())
     }
 
-    /// Returns the next bytes of a body as they come, or nothing at its end.
+    /// Returns the next bytes of a body as they arrive, or `None` at its end.
     pub async fn piece(&mut self, rest: &mut BodyRest) -> Result<Option<Bytes>, BodyError> {
         match &mut rest.0 {
             Rest::Ended | Rest::Fixed(0) => Ok(None),
             Rest::Fixed(left) => {
                 if self.buffer.is_empty() {
-                    self.more().await?;
+                    self.fill_body().await?;
                 }
-                let here = usize::try_from(*left).unwrap_or(usize::MAX);
-                let piece = self.buffer.split_to(here.min(self.buffer.len()));
+                let count = usize::try_from(*left).unwrap_or(usize::MAX);
+                let piece = self.buffer.split_to(count.min(self.buffer.len()));
                 *left -= piece.len() as u64;
                 Ok(Some(piece.freeze()))
             }
@@ -240,9 +241,9 @@
                         }
                         return Ok((!body.is_empty()).then(|| body.freeze()));
                     }
-                    // Only this field is borrowed by the decoder.
+                    // Borrows single fields of the reader beside the state of the body.
                     let into = (&mut self.buffer, &mut self.arrivals);
-                    let filled = fill(&mut self.stream, into, &mut self.space).await;
+                    let filled = fill(&mut self.stream, into, &mut self.read_buffer).await;
                     if filled.map_err(BodyError::Io)? == 0 {
                         return Err(BodyError::Cut);
                     }
@@ -258,7 +259,7 @@
         }
     }
 
-    async fn more(&mut self) -> Result<(), BodyError> {
+    async fn fill_body(&mut self) -> Result<(), BodyError> {
         match self.fill().await.map_err(BodyError::Io)? {
             0 => Err(BodyError::Cut),
             _ => Ok(()),
@@ -271,18 +272,18 @@
     (buffer, arrivals): (&mut BytesMut, &mut Arrivals),
     kept: &mut Vec<u8>,
 ) -> io::Result<usize> {
-    let mut space = std::mem::take(kept);
-    if space.is_empty() {
-        space.resize(FIRST_READ, 0);
+    let mut read_buffer = std::mem::take(kept);
+    if read_buffer.is_empty() {
+        read_buffer.resize(INITIAL_READ_SIZE, 0);
     }
-    let (result, mut space) = stream.read(space).await;
+    let (result, mut read_buffer) = stream.read(read_buffer).await;
     let count = result?;
-    arrivals.note(count, buffer.len(), Instant::now());
-    buffer.extend_from_slice(&space[..count]);
-    if count == space.len() && count < MOST_READ {
-        // More has come than was asked for.
-        space.resize(count * 4, 0);
+    arrivals.record(count, buffer.len(), Instant::now());
+    buffer.extend_from_slice(&read_buffer[..count]);
+    if count == read_buffer.len() && count < MAX_READ_SIZE {
+        // The read filled the buffer, so more bytes may be waiting.
+        read_buffer.resize(count * 4, 0);
     }
-    *kept = space;
+    *kept = read_buffer;
     Ok(count)
 }
