--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! One INI file with the mistakes found in it.
+//! A parsed INI file with the mistakes found in it.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -10,7 +10,7 @@
 use crate::problem::{Fault, Problem, Problems};
 use crate::section::Section;
 
-/// One INI file, read once, that hands out typed values and collects mistakes.
+/// A parsed INI file that returns typed values and collects mistakes.
 #[derive(Debug)]
 pub struct Document {
     file: String,
@@ -26,7 +26,7 @@
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(&file, &text),
-            Err(error) => Err(whole(&file, Fault::Unreadable(error.to_string()))),
+            Err(error) => Err(file_problem(&file, Fault::Unreadable(error.to_string()))),
         }
     }
 
@@ -52,14 +52,14 @@
         Ok(document)
     }
 
-    /// Returns the names of all sections, in order of the file.
+    /// Returns the names of all sections, in file order.
     #[must_use]
     pub fn section_names(&self) -> Vec<String> {
-        let opens = self.lines.iter().filter(|line| line.key.is_none());
-        opens.map(|line| line.section.clone()).collect()
+        let headers = self.lines.iter().filter(|line| line.key.is_none());
+        headers.map(|line| line.section.clone()).collect()
     }
 
-    /// Returns the section called `name`, and reports it if it is missing.
+    /// Returns the section `name`, and reports it if it is missing.
     pub fn section(&self, name: &str) -> Section<'_> {
         if self.ini.section(Some(name)).is_none() {
             self.report(name, None, Fault::MissingSection);
@@ -67,13 +67,13 @@
         self.optional_section(name)
     }
 
-    /// Returns the section called `name`, empty if it does not stand in the file.
+    /// Returns the section `name`, which is empty if it is not in the file.
     pub fn optional_section(&self, name: &str) -> Section<'_> {
         self.known.borrow_mut().insert(name.to_owned());
         Section::new(self, name)
     }
 
-    /// Returns the sections called `prefix NAME`, with each NAME.
+    /// Returns the sections whose header is `[prefix NAME]`, each with its NAME.
     fn sections_of(&self, prefix: &str) -> Vec<(String, Section<'_>)> {
         let mut found = Vec::new();
         for name in self.section_names() {
@@ -87,7 +87,8 @@
         found
     }
 
-    /// Returns what `read` makes of each section called `prefix NAME`.
+    /// Calls `read` for each section whose header is `[prefix NAME]` and returns the values that
+    /// are not `None`.
     pub fn read_all<T>(
         &self,
         prefix: &str,
@@ -112,16 +113,16 @@
         self.problems.borrow_mut().push(problem);
     }
 
-    /// Returns every mistake found, or nothing when the file is sound.
+    /// Returns every mistake found, as an error, or `Ok` if the file is valid.
     ///
-    /// `allowed` names the sections that may stand in the file.
+    /// `allowed` lists the allowed sections, for the messages.
     pub fn finish(self, allowed: &str) -> Result<(), Problems> {
         for name in self.section_names() {
             if !self.known.borrow().contains(&name) {
                 self.report(&name, None, Fault::UnknownSection(allowed.to_owned()));
             }
         }
-        self.report_general_keys(allowed);
+        self.report_keys_outside_sections(allowed);
         let mut problems = self.problems.into_inner();
         problems.sort_by_key(|problem| problem.line);
         problems.dedup();
@@ -131,10 +132,10 @@
         Err(Problems(problems))
     }
 
-    fn report_general_keys(&self, allowed: &str) {
-        let general = self.lines.iter().filter(|line| line.section.is_empty());
-        for line in general {
-            let fault = Fault::Contradiction(format!("a key must stand in a section: {allowed}"));
+    fn report_keys_outside_sections(&self, allowed: &str) {
+        let outside = self.lines.iter().filter(|line| line.section.is_empty());
+        for line in outside {
+            let fault = Fault::Contradiction(format!("a key must be in a section: {allowed}"));
             self.report("", line.key.as_deref(), fault);
         }
     }
@@ -161,14 +162,14 @@
 
     fn line_of(&self, section: &str, key: Option<&str>) -> usize {
         let exact = |line: &&Line| line.section == section && line.key.as_deref() == key;
-        let opening = |line: &&Line| line.section == section && line.key.is_none();
+        let header = |line: &&Line| line.section == section && line.key.is_none();
         let found = self.lines.iter().find(exact);
-        let found = found.or_else(|| self.lines.iter().find(opening));
+        let found = found.or_else(|| self.lines.iter().find(header));
         found.map_or(1, |line| line.number)
     }
 }
 
-fn whole(file: &str, fault: Fault) -> Problems {
+fn file_problem(file: &str, fault: Fault) -> Problems {
     Problems(vec![Problem {
         file: file.to_owned(),
         line: 1,
--- a/crates/settings/src/identity.rs
+++ b/crates/settings/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a node is, as its settings say.
+//! The identity of a node, as given in its settings.
 
 use std::fmt;
 
@@ -6,22 +6,22 @@
 
 use crate::section::Section;
 
-/// What a name may be.
+/// The allowed names, for messages.
 const NAME: &str = "a name of a-z, 0-9, '-', '_' and '.'";
 
-/// Who a node is.
+/// The identity of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
     /// Its name, unique among all nodes.
     pub name: NodeName,
-    /// The service of the upstream beside it.
+    /// The service of its local upstream.
     pub service: ServiceName,
-    /// The failure domain that it stands in.
+    /// The failure domain that it belongs to.
     pub domain: DomainName,
 }
 
 impl Identity {
-    /// Reads the keys `name`, `service` and `domain`, and reports those that are missing.
+    /// Reads the keys `name`, `service` and `domain`; reports those that are missing or invalid.
     #[must_use]
     pub fn read(section: &Section<'_>) -> Option<Self> {
         let name = section.required("name", NAME);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! Reads INI files completely and strictly, and says where each mistake stands.
+//! Strict reading of INI settings files, with the place of every mistake.
 //!
-//! A [`Document`] hands out typed values. Every mistake is collected as a
-//! [`Problem`] with file, line, section, key and what is allowed, so that one
-//! reading reports all of them.
+//! A [`Document`] returns typed values and collects every mistake as a [`Problem`] with file, line,
+//! section, key and the allowed values, so that all mistakes of a file are reported at once.
 
 mod document;
 mod identity;
--- a/crates/settings/src/line.rs
+++ b/crates/settings/src/line.rs
@@ -1,14 +1,14 @@
-//! Finds the line on which a section or key stands.
+//! Indexes the lines that sections and keys are defined on.
 
-/// What one line of an INI text holds.
+/// The content of one line of an INI file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Content {
     Section(String),
     Key(String),
-    Nothing,
+    Ignored,
 }
 
-/// One meaningful line of an INI text.
+/// A line that sets a key or, if `key` is `None`, opens a section.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Line {
     pub(crate) number: usize,
@@ -16,10 +16,10 @@
     pub(crate) key: Option<String>,
 }
 
-fn content(text: &str) -> Content {
+fn parse(text: &str) -> Content {
     let text = text.trim();
     if text.is_empty() || text.starts_with('#') || text.starts_with(';') {
-        return Content::Nothing;
+        return Content::Ignored;
     }
     if let Some(name) = text.strip_prefix('[').and_then(|t| t.strip_suffix(']')) {
         return Content::Section(name.trim().to_owned());
@@ -28,13 +28,13 @@
     Content::Key(key.trim().to_owned())
 }
 
-/// Returns the lines that open a section or set a key, in order.
+/// Returns the lines that open a section or set a key, in file order.
 pub(crate) fn index(text: &str) -> Vec<Line> {
     let mut section = String::new();
     let mut lines = Vec::new();
     for (at, line) in text.lines().enumerate() {
-        let key = match content(line) {
-            Content::Nothing => continue,
+        let key = match parse(line) {
+            Content::Ignored => continue,
             Content::Section(name) => {
                 section = name;
                 None
--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an INI file.
+//! Mistakes in an INI file, with their places and messages.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 pub enum Fault {
     /// the file cannot be read: {0}
     Unreadable(String),
-    /// not INI: {0}
+    /// invalid INI syntax: {0}
     Syntax(String),
     /// unknown key; allowed: {0}
     UnknownKey(String),
@@ -19,35 +19,35 @@
     Missing(String),
     /// the section is missing
     MissingSection,
-    /// the section stands twice, first on line {0}
+    /// duplicate section, first defined on line {0}
     DuplicateSection(usize),
-    /// the key stands twice, first on line {0}
+    /// duplicate key, first defined on line {0}
     DuplicateKey(usize),
     /// {value:?} is not allowed: {reason}; allowed: {allowed}
     Value {
-        /// The text that was found.
+        /// The value found in the file.
         value: String,
-        /// Why it was refused.
+        /// Why it was rejected.
         reason: String,
-        /// What would have been taken.
+        /// The allowed values.
         allowed: String,
     },
     /// {0}
     Contradiction(String),
 }
 
-/// A mistake with the place where it stands.
+/// A mistake and its place in the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The file as it was named by the caller.
+    /// The name of the file, as given by the caller.
     pub file: String,
-    /// The line, counted from one, or the last line before the place if nothing stands there.
+    /// The line, counted from one; for something missing, the header of its section, or line one.
     pub line: usize,
-    /// The section, empty before the first one.
+    /// The section, empty for lines before the first section.
     pub section: String,
     /// The key, if the mistake concerns one.
     pub key: Option<String>,
-    /// What is wrong.
+    /// The kind of mistake.
     pub fault: Fault,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Every mistake found in one file, in the order of the lines.
+/// The mistakes found in one file, in line order.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Problems(pub Vec<Problem>);
 
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -9,12 +9,12 @@
 use crate::document::Document;
 use crate::problem::Fault;
 
-/// Separates the members of a list value.
+/// Separates the items of a list value.
 const LIST_SEPARATOR: char = ',';
 
-/// One section of a [`Document`]; asking for a key makes the key known.
+/// One section of a [`Document`]; every key that is read becomes a known key.
 ///
-/// Keys that were never asked for are reported when the section is dropped.
+/// Keys in the file that were never read are reported as unknown when the section is dropped.
 #[derive(Debug)]
 pub struct Section<'a> {
     document: &'a Document,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the section's name as it stands in the file.
+    /// Returns the section's name as written in the file.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
@@ -43,7 +43,7 @@
         self.text(key).is_some()
     }
 
-    /// Returns the value of a key that may be absent.
+    /// Returns the value of an optional key; reports an invalid value.
     pub fn optional<T>(&self, key: &str, allowed: &str) -> Option<T>
     where
         T: FromStr,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the value of a key that must be set.
+    /// Returns the value of a required key; reports a missing key or an invalid value.
     pub fn required<T>(&self, key: &str, allowed: &str) -> Option<T>
     where
         T: FromStr,
@@ -72,7 +72,7 @@
         self.optional(key, allowed)
     }
 
-    /// Returns the value of a key, or `default` if it is absent.
+    /// Returns the value of a key, or `default` if it is absent or invalid.
     pub fn or<T>(&self, key: &str, default: T, allowed: &str) -> T
     where
         T: FromStr,
@@ -81,7 +81,7 @@
         self.optional(key, allowed).unwrap_or(default)
     }
 
-    /// Returns the value of a key within a range, or `default` if it is absent.
+    /// Returns the value of a key, or `default` if it is absent, invalid or out of `range`.
     pub fn ranged<T>(&self, key: &str, default: T, range: RangeInclusive<T>) -> T
     where
         T: FromStr + PartialOrd + Display + Clone,
@@ -98,7 +98,7 @@
         default
     }
 
-    /// Returns the members of a comma-separated list, empty if the key is absent.
+    /// Returns the valid items of a comma-separated list, none if the key is absent.
     pub fn list<T>(&self, key: &str, allowed: &str) -> Vec<T>
     where
         T: FromStr,
@@ -107,17 +107,17 @@
         let Some(text) = self.text(key) else {
             return Vec::new();
         };
-        let mut members = Vec::new();
+        let mut items = Vec::new();
         for part in text.split(LIST_SEPARATOR).map(str::trim) {
             match part.parse() {
-                Ok(member) => members.push(member),
+                Ok(item) => items.push(item),
                 Err(error) => self.refuse(key, part, &format!("{error}"), allowed),
             }
         }
-        members
+        items
     }
 
-    /// Reports that the value of `key` is refused.
+    /// Reports that the value of `key` is rejected.
     pub fn refuse(&self, key: &str, value: &str, reason: &str, allowed: &str) {
         let fault = Fault::Value {
             value: value.to_owned(),
--- a/crates/settings/tests/problems.rs
+++ b/crates/settings/tests/problems.rs
@@ -1,4 +1,4 @@
-//! Every mistake names its file, line, section, key and what is allowed.
+//! The message for every mistake gives its file, line, section, key and the allowed values.
 
 use sailtrack_settings::{Document, Problems};
 
@@ -64,14 +64,14 @@
     let found = problems("[node]\nslots = 1\nslots = 2\n");
     assert_eq!(
         found,
-        "node.ini:3: [node] slots: the key stands twice, first on line 2"
+        "node.ini:3: [node] slots: duplicate key, first defined on line 2"
     );
 }
 
 #[test]
 fn duplicate_section() {
     let found = problems("[node]\nslots = 1\n[node]\n");
-    assert!(found.contains("node.ini:3: [node] the section stands twice, first on line 1"));
+    assert!(found.contains("node.ini:3: [node] duplicate section, first defined on line 1"));
 }
 
 #[test]
@@ -87,7 +87,7 @@
 fn key_outside_section() {
     let found = problems("slots = 1\n[node]\nslots = 1\n");
     assert!(
-        found.contains("node.ini:1: slots: a key must stand in a section"),
+        found.contains("node.ini:1: slots: a key must be in a section"),
         "{found}"
     );
 }
