--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,22 +1,22 @@
-//! Conversions between wire messages and the units that the node works with.
+//! Conversions between wire messages and the types of `sailtrack_units`.
 
 use displaydoc::Display;
 use sailtrack_units as units;
 
 use crate::generated;
 
-/// Why a message does not stand for a valid value.
+/// Why a message could not be converted to a valid value.
 #[derive(Debug, Display)]
 pub enum WireError {
-    /// a request id has 16 bytes
+    /// a request id must have 16 bytes
     RequestId,
-    /// a rank lies between 0 and 255
+    /// a rank must be from 0 to 255
     Rank,
-    /// a name is not valid: {0}
+    /// invalid name: {0}
     Name(units::NameError),
-    /// a part of the message is missing
+    /// a required field of the message is missing
     Missing,
-    /// an address is not valid
+    /// invalid address
     Address,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl generated::Call {
-    /// Returns the id of the root request.
+    /// Returns the ID of the root request.
     pub fn request_id(&self) -> Result<units::RequestId, WireError> {
         let bytes: [u8; 16] = self.request[..]
             .try_into()
@@ -61,14 +61,14 @@
         Ok(units::RequestId(u128::from_be_bytes(bytes)))
     }
 
-    /// Returns the place of the call in the order of shedding.
+    /// Returns the rank of the call in the shedding order.
     pub fn shedding_rank(&self) -> Result<units::Rank, WireError> {
         let index = u8::try_from(self.rank).map_err(|_| WireError::Rank)?;
         Ok(units::Rank::from_index(index))
     }
 }
 
-/// The text holds the keys of workspaces and is not shown.
+/// Omits the configuration text, since it contains the keys of workspaces.
 impl std::fmt::Debug for generated::Config {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let config = &mut f.debug_struct("Config");
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Length-delimited frames with a bound on their size.
+//! Length-delimited frames and datagrams of limited size.
 
 use bytes::{Bytes, BytesMut};
 use displaydoc::Display;
@@ -7,25 +7,25 @@
 
 use crate::generated::{Datagram, Frame};
 
-/// The version of the protocol, said in the first frame.
+/// The protocol version, sent in the first frame of a connection.
 pub const VERSION: u32 = 1;
 
-/// The largest frame, in bytes: a request body of 1 MiB and its head.
+/// The maximum size of a frame, in bytes: a request body of 1 MiB and its head.
 pub const MAX_FRAME: usize = 1024 * 1024 + 16 * 1024;
 
-/// The largest datagram, in bytes; it fits into one Ethernet packet.
+/// The maximum size of a datagram, in bytes, so that it fits into one Ethernet frame.
 pub const MAX_DATAGRAM: usize = 1400;
 
-/// Why bytes are not a frame or datagram.
+/// Why a frame or datagram was rejected.
 #[derive(Debug, Display)]
 pub enum FrameError {
-    /// the frame is larger than the bound or its length is damaged: {0}
+    /// the frame exceeds the size limit or its length is corrupt: {0}
     Length(std::io::Error),
-    /// the message is damaged: {0}
+    /// the message cannot be decoded: {0}
     Message(prost::DecodeError),
-    /// the frame holds no message
+    /// the frame contains no message
     Empty,
-    /// the peer speaks version {0}, this node speaks version 1
+    /// the peer uses protocol version {0}, this node uses version 1
     Version(u32),
     /// the first frame is not a hello
     NoHello,
@@ -33,25 +33,25 @@
 
 impl std::error::Error for FrameError {}
 
-/// Turns messages into frames and back.
+/// Encodes messages as length-delimited frames and decodes them.
 #[derive(Debug)]
 pub struct Codec {
-    lengths: LengthDelimitedCodec,
+    delimiter: LengthDelimitedCodec,
 }
 
 impl Default for Codec {
     fn default() -> Self {
-        let lengths = LengthDelimitedCodec::builder()
+        let delimiter = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME)
             .new_codec();
-        Self { lengths }
+        Self { delimiter }
     }
 }
 
 impl Codec {
-    /// Takes the next whole frame out of `buffer`, or nothing if more bytes are needed.
+    /// Removes and returns the next complete frame of `buffer`, or `None` if more bytes are needed.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-        let Some(bytes) = self.lengths.decode(buffer).map_err(FrameError::Length)? else {
+        let Some(bytes) = self.delimiter.decode(buffer).map_err(FrameError::Length)? else {
             return Ok(None);
         };
         let frame = Frame::decode(bytes.freeze()).map_err(FrameError::Message)?;
@@ -61,22 +61,22 @@
         Ok(Some(frame))
     }
 
-    /// Appends `frame` to `buffer`.
+    /// Appends the encoded `frame` to `buffer`.
     pub fn encode(&mut self, frame: &Frame, buffer: &mut BytesMut) -> Result<(), FrameError> {
         let bytes = Bytes::from(frame.encode_to_vec());
-        self.lengths
+        self.delimiter
             .encode(bytes, buffer)
             .map_err(FrameError::Length)
     }
 }
 
-/// Returns the bytes of a datagram.
+/// Encodes a datagram.
 #[must_use]
 pub fn encode_datagram(datagram: &Datagram) -> Vec<u8> {
     datagram.encode_to_vec()
 }
 
-/// Returns the datagram that the bytes hold.
+/// Decodes a datagram.
 pub fn decode_datagram(bytes: &[u8]) -> Result<Datagram, FrameError> {
     Datagram::decode(bytes).map_err(FrameError::Message)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocol between nodes: prost messages in length-delimited frames over
-//! TCP, and single prost messages in datagrams over UDP.
+//! The protocol between nodes: Protocol Buffers messages in length-delimited frames over TCP, and
+//! one message per datagram over UDP.
 
 mod convert;
 mod frame;
--- a/crates/wire/tests/frame_codec.rs
+++ b/crates/wire/tests/frame_codec.rs
@@ -1,4 +1,4 @@
-//! Frames survive any cut of the stream, and no bytes make the codec panic.
+//! Frames are decoded however the stream is split into reads, and no input makes the codec panic.
 
 use bytes::{BufMut as _, BytesMut};
 use proptest::prelude::*;
--- a/crates/wire/tests/generated_code.rs
+++ b/crates/wire/tests/generated_code.rs
@@ -1,21 +1,21 @@
-//! The committed generated code agrees with the `.proto` file.
+//! The committed generated code matches the `.proto` file.
 
 use std::path::Path;
 
 const COMMITTED: &str = "src/generated.rs";
 
-fn generate(into: &Path) -> String {
-    let set = protox::compile(["sailtrack.proto"], ["."]).expect("the proto file is sound");
+fn generate(out_dir: &Path) -> String {
+    let set = protox::compile(["sailtrack.proto"], ["."]).expect("the proto file compiles");
     prost_build::Config::new()
-        .out_dir(into)
+        .out_dir(out_dir)
         .bytes(["."])
         .skip_debug(["sailtrack.wire.Config"])
         .compile_fds(set)
         .expect("code can be generated");
-    std::fs::read_to_string(into.join("sailtrack.wire.rs")).expect("code was generated")
+    std::fs::read_to_string(out_dir.join("sailtrack.wire.rs")).expect("code was generated")
 }
 
-/// Run with `SAILTRACK_REGENERATE=1` to write the committed file anew.
+/// Run with `SAILTRACK_REGENERATE=1` to regenerate the committed file.
 #[test]
 fn committed_code_agrees() {
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
