--- a/crates/mesh/src/entry/connection.rs
+++ b/crates/mesh/src/entry/connection.rs
@@ -6,7 +6,7 @@
 use monoio::io::{AsyncWriteRent as _, OwnedWriteHalf, Splitable as _};
 use monoio::net::TcpStream;
 use monoio::time::timeout;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_net::transparent::Reader;
 
 use crate::entry::Entry;
@@ -99,7 +99,7 @@
     /// Shuts down writing and drains input: closing a socket with unread input resets the
     /// connection, and the client may lose the response.
     async fn linger(&mut self) {
-        let _held = Held::new(&self.entry.in_flight);
+        let _held = Guard::new(&self.entry.in_flight);
         let draining = async {
             // The client may already have closed the connection.
             let _ = self.writer.shutdown().await;
--- a/crates/mesh/src/entry/pipeline.rs
+++ b/crates/mesh/src/entry/pipeline.rs
@@ -15,7 +15,7 @@
 use std::task::{Context, Poll};
 
 use futures::future::LocalBoxFuture;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 
 use crate::entry::Entry;
 use crate::entry::connection::Disposition;
@@ -97,7 +97,7 @@
 
 /// Held by a request from its start until it has been answered.
 pub(super) struct Permit {
-    held: Held,
+    held: Guard,
     closed: Rc<Cell<bool>>,
     pending_response_bytes: [Rc<Cell<usize>>; 2],
 }
@@ -106,7 +106,7 @@
 pub(super) struct Charge {
     counts: [Rc<Cell<usize>>; 2],
     bytes: usize,
-    _held: Held,
+    _held: Guard,
 }
 
 /// The quota token of a request; refunded if the connection closed before the request was answered.
@@ -156,7 +156,7 @@
     }
 
     /// Returns the permit for a request that starts now.
-    pub(super) fn permit(&self, held: Held) -> Permit {
+    pub(super) fn permit(&self, held: Guard) -> Permit {
         Permit {
             held,
             closed: Rc::clone(&self.closed),
--- a/crates/mesh/src/entry/receiver.rs
+++ b/crates/mesh/src/entry/receiver.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures::future::{Either, ready, select};
 use monoio::time::timeout;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_net::transparent::{BodyError, Framing, HeadError, MessageError, Reader};
 use sailtrack_wire::Reason;
 
@@ -119,10 +119,10 @@
 
     /// Reads one request and starts it once the pipeline allows.
     async fn start_next(&mut self) -> Result<(), Stop> {
-        let held = Held::new(&self.entry.in_flight);
+        let held = Guard::new(&self.entry.in_flight);
         let limits = self.entry.limits();
         let bytes = self.read_head(limits).await?;
-        let received_at = self.reader.last_came().unwrap_or_else(Instant::now);
+        let received_at = self.reader.last_arrival().unwrap_or_else(Instant::now);
         let mut incoming = self.parse(&bytes, received_at)?;
         let is_idempotent = incoming.route.is_idempotent();
         if !self.pipeline.can_start(is_idempotent) {
@@ -271,7 +271,7 @@
         }
         let mut hasher = incoming.hasher(&self.entry.service);
         let on_piece = |piece: &[u8]| hasher.update(piece);
-        let body = self.reader.body_seen(incoming.framing, limit, on_piece);
+        let body = self.reader.inspect_body(incoming.framing, limit, on_piece);
         match clock::timeout_at(incoming.deadline, body).await {
             Ok(Ok(body)) => Ok(Payload {
                 body,
@@ -288,7 +288,7 @@
 /// Waits until the client closes its connection; input that arrives meanwhile stays buffered.
 async fn wait_for_disconnect(reader: &mut Reader) {
     while reader.buffered() < MAX_READ_AHEAD {
-        if !matches!(reader.fill().await, Ok(count) if count > 0) {
+        if !matches!(reader.fill().await, Ok(count)if count>0) {
             return;
         }
     }
--- a/crates/mesh/src/entry/sender.rs
+++ b/crates/mesh/src/entry/sender.rs
@@ -8,7 +8,7 @@
 use monoio::net::TcpStream;
 use monoio::time::timeout;
 use sailtrack_log::{catalogue, emit};
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_wire::Outcome;
 
 use crate::body::Stream;
@@ -163,7 +163,7 @@
 
     /// Refuses the client's input and closes the connection.
     async fn refuse(&mut self, refusal: Refusal, retry_after: Option<Duration>) -> Disposition {
-        let _held = Held::new(&self.entry.in_flight);
+        let _held = Guard::new(&self.entry.in_flight);
         if !matches!(
             refusal,
             Refusal::NoRoute | Refusal::NotRun | Refusal::Unauthorized
--- a/crates/mesh/src/reload/reader.rs
+++ b/crates/mesh/src/reload/reader.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
-use sailtrack_net::wakes::Wakes;
+use sailtrack_net::wakeup;
 
 /// The result of reading the file once.
 #[derive(Debug)]
@@ -32,13 +32,13 @@
 pub(super) struct Reader {
     readings: Receiver<Reading>,
     /// Receives one byte for each reading, which wakes the waiting task.
-    wakes: Wakes,
+    wakes: wakeup::Receiver,
 }
 
 impl Reader {
     /// Starts a thread that reads a file at each `interval` and on request.
     pub(super) fn start(file: PathBuf, interval: Duration) -> io::Result<(Self, Trigger)> {
-        let (wakes, thread_side) = Wakes::pair()?;
+        let (wakes, thread_side) = wakeup::Receiver::pair()?;
         let (trigger, requests) = mpsc::channel();
         let (sender, readings) = mpsc::channel();
         let worker = Worker {
--- a/crates/node/src/accountant.rs
+++ b/crates/node/src/accountant.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use sailtrack_kernel::Service;
-use sailtrack_net::task::Held;
+use sailtrack_net::task::Guard;
 use sailtrack_units::RequestId;
 use sailtrack_wire::{Outcome, Reason};
 
@@ -73,7 +73,7 @@
 
     /// Accounts for one attempt and dispatches it.
     pub(crate) async fn account(&self, call: Call) -> Answer {
-        let _held = Held::new(&self.dispatcher.executor.in_flight);
+        let _held = Guard::new(&self.dispatcher.executor.in_flight);
         let record = self.record_for(&call);
         if record.may_have_run.get() && !record.budget.spend() {
             let answer = Answer::unknown(Reason::Allowance);
