--- a/crates/net/src/http/reader.rs
+++ b/crates/net/src/http/reader.rs
@@ -24,15 +24,15 @@
 /// Why a message was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum InputError {
-    /// the message is malformed or truncated, or its headers are too large
+    /// the message is malformed, too large in its head, or was cut
     Malformed,
-    /// the body length is given more than once or in more than one way
+    /// the length of the body is given twice or in two ways
     Ambiguous,
     /// a body needs a Content-Length
     LengthRequired,
-    /// the body exceeds the size limit
+    /// the body is larger than the bound
     TooLarge,
-    /// the connection ended within the body
+    /// the body ended early
     Cut,
 }
 
--- a/crates/node/src/port/client.rs
+++ b/crates/node/src/port/client.rs
@@ -117,7 +117,7 @@
         let verdict = row.ok().flatten().and_then(|row| verdict_of(&row.value));
         match verdict.as_deref() {
             Some("done") => {
-                let text = "done: settled by an operator, the response itself is not kept\n";
+                let text = "done: settled by an operator, the answer itself is not kept\n";
                 Answer::done(
                     StatusCode::OK.as_u16(),
                     "text/plain".to_owned(),
@@ -167,7 +167,7 @@
             return self.claim(key, kind).await.map(Some);
         }
         let text = format!(
-            "{} runs at most once: get a ticket by POST {TICKETS} with {}, or send {}",
+            "{} runs at most once: get a ticket by POST {TICKETS} with {}, or bring {}",
             kind.name,
             header::KIND,
             header::IDEMPOTENCY_KEY
@@ -217,10 +217,7 @@
         declaration: &sailtrack_declaration::Declaration,
     ) -> Response {
         if request.method != Method::POST {
-            return reply::not_run(
-                StatusCode::METHOD_NOT_ALLOWED,
-                "tickets are issued by POST only",
-            );
+            return reply::not_run(StatusCode::METHOD_NOT_ALLOWED, "tickets are got by POST");
         }
         let name = request
             .header(header::KIND)
--- a/crates/node/src/port/local.rs
+++ b/crates/node/src/port/local.rs
@@ -62,7 +62,7 @@
         let announcement: Announcement = match serde_json::from_slice(&request.body) {
             Ok(announcement) => announcement,
             Err(error) => {
-                let text = format!("invalid announcement: {error}");
+                let text = format!("the announcement is not sound: {error}");
                 return Response::text(StatusCode::BAD_REQUEST, text);
             }
         };
