--- a/crates/declaration/src/check.rs
+++ b/crates/declaration/src/check.rs
@@ -1,4 +1,4 @@
-//! Contradictions between the parts of a declaration.
+//! Consistency checks across the sections of a declaration.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::declaration::Declaration;
 
-/// Reports every part that contradicts another one.
+/// Reports references to undeclared services, and routes that more than one kind claims.
 pub(crate) fn report_contradictions(declaration: &Declaration, document: &Document) {
     let services: BTreeSet<&ServiceName> = declaration
         .services
@@ -18,12 +18,12 @@
     report_shared_routes(declaration, document);
 }
 
-fn unknown(service: &ServiceName, services: &BTreeSet<&ServiceName>) -> Fault {
-    let known: Vec<String> = services.iter().map(ToString::to_string).collect();
+fn undeclared(service: &ServiceName, services: &BTreeSet<&ServiceName>) -> Fault {
+    let declared: Vec<String> = services.iter().map(ToString::to_string).collect();
     Fault::Value {
         value: service.to_string(),
         reason: "the service is not declared".to_owned(),
-        allowed: known.join(", "),
+        allowed: declared.join(", "),
     }
 }
 
@@ -35,22 +35,26 @@
     for kind in &declaration.kinds {
         if !services.contains(&kind.service) {
             let section = format!("kind {}", kind.name);
-            document.report(&section, Some("service"), unknown(&kind.service, services));
+            document.report(
+                &section,
+                Some("service"),
+                undeclared(&kind.service, services),
+            );
         }
     }
     for event in &declaration.events {
         for service in &event.services {
             if !services.contains(service) {
                 let section = format!("event {}", event.name);
-                document.report(&section, Some("services"), unknown(service, services));
+                document.report(&section, Some("services"), undeclared(service, services));
             }
         }
     }
 }
 
 fn report_shared_routes(declaration: &Declaration, document: &Document) {
-    for (at, kind) in declaration.kinds.iter().enumerate() {
-        let earlier = &declaration.kinds[..at];
+    for (index, kind) in declaration.kinds.iter().enumerate() {
+        let earlier = &declaration.kinds[..index];
         let Some(first) = earlier.iter().find(|other| other.route == kind.route) else {
             continue;
         };
--- a/crates/declaration/src/kind.rs
+++ b/crates/declaration/src/kind.rs
@@ -6,7 +6,7 @@
 use displaydoc::Display;
 use sailtrack_units::{Allowance, Importance, KindName, Period, Ratio, ServiceName};
 
-/// Whether a request may run again after it may have run.
+/// Whether a request may be retried after an attempt that may have run it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Repeat {
     /// retry
@@ -36,12 +36,12 @@
     }
 }
 
-/// The method and path prefix by which a kind of request is recognised.
+/// The method and path prefix that identify a kind of request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The method.
+    /// The HTTP method, in capitals.
     pub method: String,
-    /// The path that the request's path starts with.
+    /// The prefix of the request's path; it matches whole segments only.
     pub prefix: String,
 }
 
@@ -52,14 +52,14 @@
 impl std::error::Error for RouteError {}
 
 impl Route {
-    /// Returns true if a request with this method and path takes the route.
+    /// Returns true if a request with this method and path matches the route.
     #[must_use]
     pub fn matches(&self, method: &str, path: &str) -> bool {
         let Some(rest) = path.strip_prefix(&self.prefix) else {
             return false;
         };
-        let whole_segment = rest.is_empty() || rest.starts_with(['/', '?']);
-        self.method == method && whole_segment
+        let ends_at_segment = rest.is_empty() || rest.starts_with(['/', '?']);
+        self.method == method && ends_at_segment
     }
 }
 
@@ -74,8 +74,8 @@
 
     fn from_str(text: &str) -> Result<Self, RouteError> {
         let (method, prefix) = text.split_once(' ').ok_or(RouteError)?;
-        let method_is_sound = !method.is_empty() && method.chars().all(|c| c.is_ascii_uppercase());
-        if !method_is_sound || !prefix.starts_with('/') || prefix.contains(char::is_whitespace) {
+        let is_valid_method = !method.is_empty() && method.chars().all(|c| c.is_ascii_uppercase());
+        if !is_valid_method || !prefix.starts_with('/') || prefix.contains(char::is_whitespace) {
             return Err(RouteError);
         }
         Ok(Self {
@@ -85,23 +85,23 @@
     }
 }
 
-/// One declared kind of request.
+/// A declared kind of request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Kind {
-    /// Its name.
+    /// Its name, unique in the declaration.
     pub name: KindName,
     /// The service that runs it.
     pub service: ServiceName,
-    /// How it is recognised.
+    /// The method and path prefix of its requests.
     pub route: Route,
-    /// Whether it may run again.
+    /// Whether its requests may be retried.
     pub repeat: Repeat,
-    /// How many retries one such request may cause in total.
+    /// The maximum number of retries that one request may cause in total.
     pub allowance: Allowance,
-    /// How much it matters.
+    /// Its priority: less important requests are shed first.
     pub importance: Importance,
-    /// How long a request may take if the client does not say.
+    /// The timeout of requests whose client sets none.
     pub timeout: Period,
-    /// The share of requests that should complete during an event.
+    /// The service level objective: the share of requests that should complete during an event.
     pub objective: Ratio,
 }
--- a/crates/declaration/src/lib.rs
+++ b/crates/declaration/src/lib.rs
@@ -1,8 +1,8 @@
-//! What operators declare: services, kinds of requests and events.
+//! Services, request kinds and events as operators declare them.
 //!
-//! A [`Declaration`] is read from INI text, checked completely, and written
-//! back as the same text; the text is what is kept under version control and
-//! what spreads between nodes.
+//! A [`Declaration`] is parsed from INI text, validated, and written back as
+//! INI text. Operators keep this text under version control, and nodes pass it
+//! on to each other.
 
 mod check;
 mod declaration;
--- a/crates/declaration/src/read.rs
+++ b/crates/declaration/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads a declaration from INI text.
+//! Parses a declaration from INI text.
 
 use std::path::Path;
 use std::str::FromStr;
@@ -12,20 +12,20 @@
 use crate::kind::{Kind, Repeat, Route};
 use crate::service::{Limit, Service};
 
-const SECTIONS: &str = "[service NAME], [kind NAME], [event NAME], [drained]";
-const NAME: &str = "a name of a-z, 0-9, '-', '_' and '.'";
-const PERIOD: &str = "a period such as 250ms, 5s or 10m";
+const ALLOWED_SECTIONS: &str = "[service NAME], [kind NAME], [event NAME], [drained]";
+const NAME_FORMAT: &str = "a name of a-z, 0-9, '-', '_' and '.'";
+const PERIOD_FORMAT: &str = "a period such as 250ms, 5s or 10m";
 const DEFAULT_TIMEOUT: Period = Period::from_millis(10_000);
 const DEFAULT_PREPARE: Period = Period::from_millis(60_000);
 const DEFAULT_OBJECTIVE: Ratio = Ratio(0.99);
 
 impl Declaration {
-    /// Reads the declaration in the file at `path`.
+    /// Loads a declaration from the file at `path`.
     pub fn load(path: &Path) -> Result<Self, Problems> {
         Self::from_document(Document::load(path)?)
     }
 
-    /// Reads a declaration from `text`; `file` names it in messages.
+    /// Parses a declaration from `text`; error messages name it `file`.
     pub fn parse(file: &str, text: &str) -> Result<Self, Problems> {
         Self::from_document(Document::parse(file, text)?)
     }
@@ -37,18 +37,18 @@
             events: document.read_all("event", read_event),
             drained: document
                 .optional_section("drained")
-                .list("nodes", NAME)
+                .list("nodes", NAME_FORMAT)
                 .into_iter()
                 .collect(),
         };
         check::report_contradictions(&declaration, &document);
-        document.finish(SECTIONS)?;
+        document.finish(ALLOWED_SECTIONS)?;
         Ok(declaration)
     }
 }
 
-/// Returns the name in a section's heading, and reports one that is not valid.
-fn heading<N>(name: &str, section: &Section<'_>) -> Option<N>
+/// Parses the name in a section's heading; an invalid one is reported and gives `None`.
+fn parse_name<N>(name: &str, section: &Section<'_>) -> Option<N>
 where
     N: FromStr,
     N::Err: std::fmt::Display,
@@ -56,7 +56,7 @@
     match name.parse() {
         Ok(name) => Some(name),
         Err(error) => {
-            section.refuse("NAME", name, &format!("{error}"), NAME);
+            section.refuse("NAME", name, &format!("{error}"), NAME_FORMAT);
             None
         }
     }
@@ -69,7 +69,7 @@
         "auto or a whole number from 1 to 100000",
     );
     Some(Service {
-        name: heading(name, section)?,
+        name: parse_name(name, section)?,
         limit,
     })
 }
@@ -84,10 +84,10 @@
         Importance::Normal,
         "low, normal, high, critical",
     );
-    let timeout = section.or("timeout", DEFAULT_TIMEOUT, PERIOD);
+    let timeout = section.or("timeout", DEFAULT_TIMEOUT, PERIOD_FORMAT);
     let objective = section.or("objective", DEFAULT_OBJECTIVE, "from 0 to 1");
     if timeout.0.is_zero() {
-        section.refuse("timeout", "0", "no request can finish", PERIOD);
+        section.refuse("timeout", "0", "no request can finish", PERIOD_FORMAT);
     }
     if allowance.0 > 0 && repeat.is_some_and(|repeat: Repeat| repeat != Repeat::Retry) {
         let reason = "only a kind with repeat = retry has an allowance";
@@ -99,7 +99,7 @@
         );
     }
     Some(Kind {
-        name: heading(name, section)?,
+        name: parse_name(name, section)?,
         service: service?,
         route: route?,
         repeat: repeat?,
@@ -112,9 +112,9 @@
 
 fn read_event(name: &str, section: &Section<'_>) -> Option<Event> {
     let start = section.required::<Timestamp>("start", "a time such as 2026-12-31T09:00:00Z");
-    let window = section.optional::<Period>("window", PERIOD);
+    let window = section.optional::<Period>("window", PERIOD_FORMAT);
     let end = section.optional::<Timestamp>("end", "a time after the start");
-    let prepare = section.or("prepare", DEFAULT_PREPARE, PERIOD);
+    let prepare = section.or("prepare", DEFAULT_PREPARE, PERIOD_FORMAT);
     let services = section.list("services", "names of declared services");
     if services.is_empty() {
         section.refuse(
@@ -124,7 +124,7 @@
             "names of declared services",
         );
     }
-    let name = heading(name, section);
+    let name = parse_name(name, section);
     let window = resolve_window(section, start?, window, end)?;
     Some(Event {
         name: name?,
@@ -135,7 +135,7 @@
     })
 }
 
-/// Returns the length of an event that gives either its window or its end.
+/// Returns the duration of an event; exactly one of `window` and `end` must be given.
 fn resolve_window(
     section: &Section<'_>,
     start: Timestamp,
--- a/crates/declaration/src/service.rs
+++ b/crates/declaration/src/service.rs
@@ -6,16 +6,16 @@
 use displaydoc::Display;
 use sailtrack_units::ServiceName;
 
-/// The most requests that a limit can allow at once.
+/// The highest concurrency limit that can be declared.
 const MAX_LIMIT: u32 = 100_000;
 
-/// How many requests a node lets into its upstream at once.
+/// The maximum number of requests that a node runs concurrently in its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Limit {
-    /// Found from the upstream's behaviour.
+    /// Adapted to the measured behaviour of the upstream.
     #[default]
     Auto,
-    /// Fixed by an operator.
+    /// Set by an operator.
     Fixed(u32),
 }
 
@@ -48,11 +48,11 @@
     }
 }
 
-/// One declared service.
+/// A declared service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Its name, unique in the declaration.
     pub name: ServiceName,
-    /// The limit of each of its upstreams.
+    /// The concurrency limit of each of its upstreams.
     pub limit: Limit,
 }
--- a/crates/declaration/tests/declarations.rs
+++ b/crates/declaration/tests/declarations.rs
@@ -1,10 +1,10 @@
-//! Declarations are checked completely and written back as they were read.
+//! Declarations are validated, and written back as the text that they were parsed from.
 
 use std::path::Path;
 
 use sailtrack_declaration::Declaration;
 
-const SOUND: &str = "\
+const VALID: &str = "\
 [service desk]
 limit = auto
 
@@ -46,22 +46,22 @@
     }
 }
 
-fn changed(from: &str, to: &str) -> String {
-    assert!(SOUND.contains(from));
-    problems(&SOUND.replace(from, to))
+fn problems_after(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from));
+    problems(&VALID.replace(from, to))
 }
 
 #[test]
 fn written_back() {
-    let declaration = Declaration::parse("d.ini", SOUND).expect("it is sound");
-    assert_eq!(declaration.to_string().trim(), SOUND.trim());
+    let declaration = Declaration::parse("d.ini", VALID).expect("the declaration is valid");
+    assert_eq!(declaration.to_string().trim(), VALID.trim());
     let again = Declaration::parse("d.ini", &declaration.to_string());
     assert_eq!(again.as_ref(), Ok(&declaration));
 }
 
 #[test]
 fn retry_and_never() {
-    let found = changed(
+    let found = problems_after(
         "repeat = never\nallowance = 0",
         "repeat = never\nallowance = 2",
     );
@@ -73,7 +73,7 @@
 
 #[test]
 fn window_ends_early() {
-    let found = changed("window = 45m", "end = 2026-12-31T03:00:00Z");
+    let found = problems_after("window = 45m", "end = 2026-12-31T03:00:00Z");
     assert!(
         found.starts_with("d.ini:27: [event salary-day] end:"),
         "{found}"
@@ -83,13 +83,13 @@
 
 #[test]
 fn unknown_service() {
-    let found = changed("service = ledger", "service = leger");
+    let found = problems_after("service = ledger", "service = leger");
     assert!(
         found.starts_with("d.ini:17: [kind entry] service: \"leger\""),
         "{found}"
     );
     assert!(found.ends_with("allowed: desk, ledger"), "{found}");
-    let found = changed("services = desk, ledger", "services = desk, leger");
+    let found = problems_after("services = desk, ledger", "services = desk, leger");
     assert!(
         found.starts_with("d.ini:29: [event salary-day] services:"),
         "{found}"
@@ -98,7 +98,7 @@
 
 #[test]
 fn shared_route() {
-    let found = changed("route = POST /entries", "route = GET /records");
+    let found = problems_after("route = POST /entries", "route = GET /records");
     assert!(found.contains("d.ini:18: [kind entry] route: kind lookup has this route already"));
 }
 
@@ -126,7 +126,7 @@
         ("[kind entry]", "[kind Entry]", "a name of a-z"),
     ];
     for (from, to, allowed) in cases {
-        let found = changed(from, to);
+        let found = problems_after(from, to);
         assert!(
             found.contains("d.ini:") && found.contains(allowed),
             "{to}: {found}"
