--- a/crates/language/src/command.rs
+++ b/crates/language/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands and queries.
+//! Commands and queries as abstract syntax.
 
 use std::fmt;
 
@@ -8,12 +8,12 @@
 use crate::condition::Condition;
 use crate::subject::Subject;
 
-/// What an operator found out about a request whose outcome was not known.
+/// An operator's finding on a request whose outcome is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It ran.
+    /// The request ran.
     Done,
-    /// It did not run.
+    /// The request did not run.
     NotRun,
 }
 
@@ -29,25 +29,25 @@
 /// One command or query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Show the rows of a subject.
+    /// Show the rows of a subject that meet all conditions.
     Show(Subject, Vec<Condition>),
-    /// Count the rows of a subject by a field.
+    /// Count the rows of a subject that meet all conditions, grouped by a field.
     Count(Subject, String, Vec<Condition>),
     /// Show the declaration in force.
     ShowConfig,
-    /// Show what became of a command.
+    /// Show the result of a command, by its id.
     ShowCommand(String),
     /// Set the limit of a service.
     SetLimit(ServiceName, Limit),
     /// Take an upstream out of service.
     Drain(NodeName),
-    /// Put a drained upstream back.
+    /// Return a drained upstream to service.
     Restore(NodeName),
     /// Move the start of an event.
     MoveEvent(EventName, Timestamp),
     /// Remove an event.
     CancelEvent(EventName),
-    /// Settle a request whose outcome is not known.
+    /// Record the outcome of a request that had an unknown one.
     Settle(Ticket, Verdict),
 }
 
@@ -90,9 +90,9 @@
 }
 
 fn write_conditions(f: &mut fmt::Formatter<'_>, conditions: &[Condition]) -> fmt::Result {
-    for (at, condition) in conditions.iter().enumerate() {
-        let word = if at == 0 { "where" } else { "and" };
-        write!(f, " {word} {condition}")?;
+    for (index, condition) in conditions.iter().enumerate() {
+        let keyword = if index == 0 { "where" } else { "and" };
+        write!(f, " {keyword} {condition}")?;
     }
     Ok(())
 }
--- a/crates/language/src/condition.rs
+++ b/crates/language/src/condition.rs
@@ -1,4 +1,4 @@
-//! Conditions that rows of an answer must meet.
+//! Predicates of the `where` clause of a query.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -21,7 +21,7 @@
 }
 
 impl Comparison {
-    /// Returns the sign for it.
+    /// Returns the operator as it is written in a query.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -34,7 +34,7 @@
         }
     }
 
-    fn holds(self, order: Ordering) -> bool {
+    fn accepts(self, order: Ordering) -> bool {
         match self {
             Self::Equal => order == Ordering::Equal,
             Self::NotEqual => order != Ordering::Equal,
@@ -46,42 +46,43 @@
     }
 }
 
-/// One condition on a field.
+/// A predicate that compares a field of a row with a value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     /// The field's name.
     pub field: String,
-    /// How it is compared.
+    /// The comparison operator.
     pub comparison: Comparison,
-    /// What it is compared with.
+    /// The value that the field is compared with.
     pub value: String,
 }
 
 impl Condition {
     /// Returns true if a field with this text meets the condition.
     ///
-    /// Two numbers are compared as numbers, all else as text.
+    /// Compares numerically if both sides are numbers, otherwise as text.
     #[must_use]
     pub fn is_met(&self, text: &str) -> bool {
         let order = match (text.parse::<f64>(), self.value.parse::<f64>()) {
-            (Ok(one), Ok(other)) => one.total_cmp(&other),
+            (Ok(left), Ok(right)) => left.total_cmp(&right),
             _ => text.cmp(&self.value),
         };
-        self.comparison.holds(order)
+        self.comparison.accepts(order)
     }
 }
 
 impl fmt::Display for Condition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let sign = self.comparison.as_str();
-        write!(f, "{} {sign} {}", self.field, quote(&self.value))
+        let operator = self.comparison.as_str();
+        write!(f, "{} {operator} {}", self.field, quote(&self.value))
     }
 }
 
-/// Returns a value as it stands in a command, quoted if it must be.
+/// Returns a value in the syntax of a query, quoted if it is empty or has other characters
+/// than a bare word may have.
 fn quote(value: &str) -> String {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    if !value.is_empty() && value.chars().all(plain) {
+    let is_bare = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+    if !value.is_empty() && value.chars().all(is_bare) {
         return value.to_owned();
     }
     format!("\"{value}\"")
--- a/crates/language/src/parse.rs
+++ b/crates/language/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parses commands, and says at which column a mistake stands.
+//! Parser of commands and queries; a syntax error names the column where it occurred.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -19,7 +19,7 @@
 pub struct SyntaxError {
     /// The column, counted from one.
     pub column: usize,
-    /// What would have been taken there.
+    /// What the parser expected there.
     pub expected: String,
 }
 
@@ -27,10 +27,10 @@
 
 type Parsed<T> = Result<T, ErrMode<ContextError>>;
 
-/// The first words of all commands.
+/// The keywords that a command can start with.
 const COMMANDS: &str = "show, count, set, drain, restore, move, cancel or settle";
 
-/// Parses one command.
+/// Parses a single command or query.
 pub fn parse(text: &str) -> Result<Command, SyntaxError> {
     let mut line = delimited(
         multispace0,
@@ -48,7 +48,7 @@
     Ok(command)
 }
 
-/// Returns what the innermost parser expected.
+/// Returns what the innermost parser expected, which is the most specific description.
 fn expected(error: &ContextError) -> String {
     let first = error.context().find_map(|context| match context {
         StrContext::Expected(StrContextValue::Description(text)) => Some((*text).to_owned()),
@@ -57,6 +57,7 @@
     first.unwrap_or_else(|| COMMANDS.to_owned())
 }
 
+/// Labels a parser with what a syntax error says was expected.
 fn expect<'a, T>(
     parser: impl Parser<&'a str, T, ErrMode<ContextError>>,
     what: &'static str,
@@ -64,26 +65,31 @@
     parser.context(StrContext::Expected(StrContextValue::Description(what)))
 }
 
-fn word<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ErrMode<ContextError>> {
-    let whole = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '-');
-    whole.verify(move |found: &str| found == text)
+/// Matches a keyword, but not as the prefix of a longer word.
+fn keyword<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ErrMode<ContextError>> {
+    let any_word = take_while(1.., |c: char| c.is_ascii_alphanumeric() || c == '-');
+    any_word.verify(move |found: &str| found == text)
 }
 
-/// Matches a word that must stand here.
-fn must<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ErrMode<ContextError>> {
-    preceded(multispace1, cut_err(expect(word(text), text)))
+/// Matches a keyword that is required here: its absence is an error, and no alternative is tried.
+fn required_keyword<'a>(
+    text: &'static str,
+) -> impl Parser<&'a str, &'a str, ErrMode<ContextError>> {
+    preceded(multispace1, cut_err(expect(keyword(text), text)))
 }
 
+/// Matches a bare word or a text in quotes.
 fn value<'a>(input: &mut &'a str) -> Parsed<&'a str> {
-    let plain = take_while(1.., |c: char| {
+    let bare = take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || "-_.:+".contains(c)
     });
     let quoted = delimited('"', take_till(0.., '"'), '"');
-    alt((quoted, plain)).parse_next(input)
+    alt((quoted, bare)).parse_next(input)
 }
 
-/// Matches a value of a type that must stand here.
-fn must_be<'a, T>(what: &'static str) -> impl Parser<&'a str, T, ErrMode<ContextError>>
+/// Matches a value of type `T` that is required here: its absence is an error, and no alternative
+/// is tried.
+fn required_value<'a, T>(what: &'static str) -> impl Parser<&'a str, T, ErrMode<ContextError>>
 where
     T: FromStr,
     T::Err: Display,
@@ -97,17 +103,20 @@
 }
 
 fn show(input: &mut &str) -> Parsed<Command> {
-    let config = word("config").value(Command::ShowConfig);
-    let of_command = preceded(word("command"), must_be::<String>("the id of a command"))
-        .map(Command::ShowCommand);
+    let config = keyword("config").value(Command::ShowConfig);
+    let command_result = preceded(
+        keyword("command"),
+        required_value::<String>("the id of a command"),
+    )
+    .map(Command::ShowCommand);
     let rows =
         (subject, conditions).map(|(subject, conditions)| Command::Show(subject, conditions));
-    let what = alt((config, of_command, rows));
+    let what = alt((config, command_result, rows));
     let what = cut_err(expect(
         what,
         "events, upstreams, services, kinds, requests unknown, history, calls, config or command",
     ));
-    preceded((word("show"), multispace0), what).parse_next(input)
+    preceded((keyword("show"), multispace0), what).parse_next(input)
 }
 
 fn count(input: &mut &str) -> Parsed<Command> {
@@ -115,28 +124,31 @@
         subject,
         "events, upstreams, services, kinds, requests unknown, history or calls",
     ));
-    let field = preceded(must("by"), must_be::<String>("a field"));
-    preceded((word("count"), multispace0), (subject, field, conditions))
-        .map(|(subject, field, conditions)| Command::Count(subject, field, conditions))
-        .parse_next(input)
+    let field = preceded(required_keyword("by"), required_value::<String>("a field"));
+    preceded(
+        (keyword("count"), multispace0),
+        (subject, field, conditions),
+    )
+    .map(|(subject, field, conditions)| Command::Count(subject, field, conditions))
+    .parse_next(input)
 }
 
 fn subject(input: &mut &str) -> Parsed<Subject> {
     alt((
-        word("events").value(Subject::Events),
-        word("upstreams").value(Subject::Upstreams),
-        word("services").value(Subject::Services),
-        word("kinds").value(Subject::Kinds),
-        (word("requests"), must("unknown")).value(Subject::UnknownRequests),
-        word("history").value(Subject::History),
-        word("calls").value(Subject::Calls),
+        keyword("events").value(Subject::Events),
+        keyword("upstreams").value(Subject::Upstreams),
+        keyword("services").value(Subject::Services),
+        keyword("kinds").value(Subject::Kinds),
+        (keyword("requests"), required_keyword("unknown")).value(Subject::UnknownRequests),
+        keyword("history").value(Subject::History),
+        keyword("calls").value(Subject::Calls),
     ))
     .parse_next(input)
 }
 
 fn conditions(input: &mut &str) -> Parsed<Vec<Condition>> {
-    let first = preceded((multispace1, word("where")), condition);
-    let more = repeat(0.., preceded((multispace1, word("and")), condition));
+    let first = preceded((multispace1, keyword("where")), condition);
+    let more = repeat(0.., preceded((multispace1, keyword("and")), condition));
     let all = (first, more).map(|(first, more): (Condition, Vec<Condition>)| {
         let mut all = vec![first];
         all.extend(more);
@@ -147,12 +159,12 @@
 }
 
 fn condition(input: &mut &str) -> Parsed<Condition> {
-    let field = must_be::<String>("a field");
+    let field = required_value::<String>("a field");
     let comparison = preceded(
         multispace0,
         cut_err(expect(comparison, "=, !=, <=, >=, < or >")),
     );
-    (field, comparison, must_be::<String>("a value"))
+    (field, comparison, required_value::<String>("a value"))
         .map(|(field, comparison, value)| Condition {
             field,
             comparison,
@@ -174,34 +186,34 @@
 }
 
 fn set(input: &mut &str) -> Parsed<Command> {
-    let service = must_be("the name of a service");
-    let limit = must_be("auto or a number from 1 to 100000");
+    let service = required_value("the name of a service");
+    let limit = required_value("auto or a number from 1 to 100000");
     preceded(
-        (word("set"), must("limit")),
-        (service, preceded(must("to"), limit)),
+        (keyword("set"), required_keyword("limit")),
+        (service, preceded(required_keyword("to"), limit)),
     )
     .map(|(service, limit)| Command::SetLimit(service, limit))
     .parse_next(input)
 }
 
 fn drain(input: &mut &str) -> Parsed<Command> {
-    preceded(word("drain"), must_be("the name of a node"))
+    preceded(keyword("drain"), required_value("the name of a node"))
         .map(Command::Drain)
         .parse_next(input)
 }
 
 fn restore(input: &mut &str) -> Parsed<Command> {
-    preceded(word("restore"), must_be("the name of a node"))
+    preceded(keyword("restore"), required_value("the name of a node"))
         .map(Command::Restore)
         .parse_next(input)
 }
 
 fn move_event(input: &mut &str) -> Parsed<Command> {
-    let event = must_be("the name of an event");
-    let start = must_be("a time such as 2026-12-31T09:00:00Z");
+    let event = required_value("the name of an event");
+    let start = required_value("a time such as 2026-12-31T09:00:00Z");
     preceded(
-        (word("move"), must("event")),
-        (event, preceded(must("to"), start)),
+        (keyword("move"), required_keyword("event")),
+        (event, preceded(required_keyword("to"), start)),
     )
     .map(|(event, start)| Command::MoveEvent(event, start))
     .parse_next(input)
@@ -209,38 +221,41 @@
 
 fn cancel(input: &mut &str) -> Parsed<Command> {
     preceded(
-        (word("cancel"), must("event")),
-        must_be("the name of an event"),
+        (keyword("cancel"), required_keyword("event")),
+        required_value("the name of an event"),
     )
     .map(Command::CancelEvent)
     .parse_next(input)
 }
 
 fn settle(input: &mut &str) -> Parsed<Command> {
-    let ticket = must_be("a ticket HOME:INCARNATION:SERIAL:MINTED");
+    let ticket = required_value("a ticket HOME:INCARNATION:SERIAL:MINTED");
     let verdict = alt((
-        word("done").value(Verdict::Done),
-        word("not-run").value(Verdict::NotRun),
+        keyword("done").value(Verdict::Done),
+        keyword("not-run").value(Verdict::NotRun),
     ));
     let verdict = preceded(multispace1, cut_err(expect(verdict, "done or not-run")));
-    preceded(word("settle"), (terminated(ticket, must("as")), verdict))
-        .map(|(ticket, verdict)| Command::Settle(ticket, verdict))
-        .parse_next(input)
+    preceded(
+        keyword("settle"),
+        (terminated(ticket, required_keyword("as")), verdict),
+    )
+    .map(|(ticket, verdict)| Command::Settle(ticket, verdict))
+    .parse_next(input)
 }
 
-/// Refuses fields that the subject does not have.
+/// Rejects fields that the subject does not have.
 fn check_fields(command: &Command, text: &str) -> Result<(), SyntaxError> {
     let (subject, by, conditions) = match command {
         Command::Show(subject, conditions) => (subject, None, conditions),
         Command::Count(subject, by, conditions) => (subject, Some(by), conditions),
         _ => return Ok(()),
     };
-    let named = conditions.iter().map(|condition| &condition.field);
-    for field in by.into_iter().chain(named) {
+    let compared = conditions.iter().map(|condition| &condition.field);
+    for field in by.into_iter().chain(compared) {
         if !subject.fields().contains(&field.as_str()) {
-            let at = text.rfind(field.as_str()).unwrap_or(0);
+            let offset = text.rfind(field.as_str()).unwrap_or(0);
             return Err(SyntaxError {
-                column: text[..at].chars().count() + 1,
+                column: text[..offset].chars().count() + 1,
                 expected: format!("a field of {subject}: {}", subject.fields().join(", ")),
             });
         }
--- a/crates/language/src/subject.rs
+++ b/crates/language/src/subject.rs
@@ -1,8 +1,8 @@
-//! What can be asked about.
+//! Subjects of queries and the fields of their rows.
 
 use std::fmt;
 
-/// What a query asks about.
+/// The subject of a query: what each row of the result describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Subject {
     /// The declared events.
@@ -13,7 +13,7 @@
     Services,
     /// The kinds of requests.
     Kinds,
-    /// The requests whose outcome is not known.
+    /// The requests whose outcome is unknown.
     UnknownRequests,
     /// The accepted changes of the configuration.
     History,
@@ -22,7 +22,7 @@
 }
 
 impl Subject {
-    /// Every subject.
+    /// All subjects.
     pub const ALL: [Self; 7] = [
         Self::Events,
         Self::Upstreams,
@@ -33,7 +33,7 @@
         Self::Calls,
     ];
 
-    /// Returns the words for it.
+    /// Returns its keywords in the language.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns the fields of each row, in the order of the table.
+    /// Returns the names of the fields of each row, in the order of the table's columns.
     #[must_use]
     pub fn fields(self) -> &'static [&'static str] {
         match self {
--- a/crates/language/tests/commands.rs
+++ b/crates/language/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands parse, print back to themselves, and mistakes point at their column.
+//! Commands survive a round trip through parser and printer, and syntax errors name their column.
 
 use proptest::prelude::*;
 use sailtrack_language::{Command, Comparison, Condition, Subject, parse};
