--- a/crates/declaration/src/event.rs
+++ b/crates/declaration/src/event.rs
@@ -32,7 +32,7 @@
 
     /// Returns true from the start of the preparation to the end of the event.
     #[must_use]
-    pub fn is_near(&self, now: Timestamp) -> bool {
+    pub fn is_preparing_or_active(&self, now: Timestamp) -> bool {
         now.after(self.prepare.0) >= self.start && now < self.end()
     }
 }
--- a/crates/language/src/condition.rs
+++ b/crates/language/src/condition.rs
@@ -62,7 +62,7 @@
     ///
     /// Compares numerically if both sides are numbers, otherwise as text.
     #[must_use]
-    pub fn is_met(&self, text: &str) -> bool {
+    pub fn matches(&self, text: &str) -> bool {
         let order = match (text.parse::<f64>(), self.value.parse::<f64>()) {
             (Ok(left), Ok(right)) => left.total_cmp(&right),
             _ => text.cmp(&self.value),
--- a/crates/language/tests/commands.rs
+++ b/crates/language/tests/commands.rs
@@ -58,8 +58,8 @@
         comparison: Comparison::Above,
         value: "9".to_owned(),
     };
-    assert!(condition.is_met("20"));
-    assert!(!condition.is_met("8"));
+    assert!(condition.matches("20"));
+    assert!(!condition.matches("8"));
 }
 
 proptest! {
--- a/crates/node/src/node/duty.rs
+++ b/crates/node/src/node/duty.rs
@@ -239,7 +239,7 @@
                 .declaration
                 .events
                 .iter()
-                .filter(|event| event.is_near(now));
+                .filter(|event| event.is_preparing_or_active(now));
             for event in near {
                 self.prepare(event).await;
             }
--- a/crates/node/src/operator/query.rs
+++ b/crates/node/src/operator/query.rs
@@ -40,7 +40,7 @@
         let meets = |row: &Vec<String>| {
             conditions.iter().all(|condition| {
                 let at = fields.iter().position(|field| *field == condition.field);
-                at.is_some_and(|at| condition.is_met(&row[at]))
+                at.is_some_and(|at| condition.matches(&row[at]))
             })
         };
         Listing {
@@ -251,7 +251,7 @@
         "active"
     } else if now >= event.end() {
         "over"
-    } else if event.is_near(now) {
+    } else if event.is_preparing_or_active(now) {
         "preparing"
     } else {
         "planned"
