--- a/crates/language/src/command.rs
+++ b/crates/language/src/command.rs
@@ -91,8 +91,8 @@
 
 fn write_conditions(f: &mut fmt::Formatter<'_>, conditions: &[Condition]) -> fmt::Result {
     for (index, condition) in conditions.iter().enumerate() {
-        let keyword = if index == 0 { "where" } else { "and" };
-        write!(f, " {keyword} {condition}")?;
+        let word = if index == 0 { "where" } else { "and" };
+        write!(f, " {word} {condition}")?;
     }
     Ok(())
 }
--- a/crates/language/src/condition.rs
+++ b/crates/language/src/condition.rs
@@ -73,8 +73,8 @@
 
 impl fmt::Display for Condition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let operator = self.comparison.as_str();
-        write!(f, "{} {operator} {}", self.field, quote(&self.value))
+        let sign = self.comparison.as_str();
+        write!(f, "{} {sign} {}", self.field, quote(&self.value))
     }
 }
 
