--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -1,4 +1,4 @@
-//! `sailtrack apply`.
+//! `sailtrack apply`: puts a declaration in force.
 
 use sailtrack_declaration::Declaration;
 
@@ -8,7 +8,7 @@
 use crate::options::Apply;
 use crate::output;
 
-/// Declares what a file says.
+/// Validates a declaration file and submits it to a node.
 pub(crate) async fn run(apply: Apply) -> Result<Exit, Error> {
     let text = std::fs::read_to_string(&apply.file)
         .map_err(|error| Error::File(apply.file.clone(), error))?;
--- a/crates/cli/src/burn.rs
+++ b/crates/cli/src/burn.rs
@@ -1,4 +1,4 @@
-//! `sailtrack report`.
+//! `sailtrack report`: reports the burn of error budgets.
 
 use crate::error::Error;
 use crate::exit::Exit;
@@ -6,7 +6,7 @@
 use crate::options::Report;
 use crate::report;
 
-/// Shows the service-level burn in the chosen format.
+/// Prints the report in the chosen format, or writes it to a file.
 pub(crate) async fn run(options: Report) -> Result<Exit, Error> {
     let summary = report::summary(&options).await?;
     let text = export::export(&summary, options.format)?;
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,11 +1,11 @@
-//! `sailtrack check`.
+//! `sailtrack check`: validates declarations without a running system.
 
 use sailtrack_declaration::Declaration;
 
 use crate::exit::Exit;
 use crate::options::Check;
 
-/// Checks each file and names every mistake.
+/// Validates each file and prints all problems found.
 pub(crate) fn run(check: &Check) -> Exit {
     let mut exit = Exit::Success;
     for file in &check.files {
--- a/crates/cli/src/cli.rs
+++ b/crates/cli/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The definition of the command line: subcommands, arguments and their help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use clap::{Arg, ArgAction, Command, value_parser};
 use sailtrack_units::{ConfigVersion, OperatorName, Period};
 
-/// Returns the declaration of the command line.
+/// Returns the definition of the command line.
 pub(crate) fn command() -> Command {
     Command::new("sailtrack")
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not be carried out.
+//! Errors of the subcommands.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 
 use crate::exit::Exit;
 
-/// Why a command could not be carried out.
+/// Why a subcommand failed.
 #[derive(Debug, Display)]
 pub(crate) enum Error {
     /// {0}
@@ -22,7 +22,7 @@
     Node(SocketAddr, sailtrack_net::http::ExchangeError),
     /// no answer came from the node at {node}: the command may have taken effect, ask with: show command {command}
     Unanswered {
-        /// The node.
+        /// The operator port of the node.
         node: SocketAddr,
         /// The id of the command.
         command: String,
@@ -42,7 +42,7 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// Returns the exit code that goes with it.
+    /// Returns the exit status for this error.
     pub(crate) fn exit(&self) -> Exit {
         match self {
             Self::Problems(_) | Self::Syntax(_) | Self::Refused(_) | Self::OutputFile(_) => {
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,23 +1,23 @@
-//! Exit codes, documented in `docs/LANGUAGE.md`.
+//! Exit statuses, documented in `docs/LANGUAGE.md`.
 
 use std::process::ExitCode;
 
-/// How the command ended.
+/// The exit status of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// It was carried out.
+    /// The command succeeded.
     Success = 0,
-    /// Something unexpected went wrong.
+    /// An unexpected error, such as a file that can't be read or an invalid response.
     Failure = 1,
-    /// What was asked for is not sound.
+    /// The arguments, the command or the declaration are invalid.
     Usage = 2,
     /// Another operator's change was accepted first.
     Conflict = 3,
-    /// It may or may not have taken effect.
+    /// The outcome is unknown: the command may or may not have taken effect.
     Unknown = 4,
-    /// It had no effect because something could not be reached.
+    /// The command had no effect, since a node or something that it needs was unreachable.
     Unreachable = 5,
-    /// It was accepted, but some instances were not seen to have it in force.
+    /// The change was accepted, but not confirmed to be in force on every instance.
     Partial = 6,
 }
 
--- a/crates/cli/src/export/json.rs
+++ b/crates/cli/src/export/json.rs
@@ -1,10 +1,10 @@
-//! The report as JSON.
+//! JSON export of a report.
 
 use crate::error::Error;
 use crate::export::Exporter;
 use crate::report::Summary;
 
-/// Writes JSON.
+/// Exports a report as JSON.
 pub(crate) struct Json;
 
 impl Exporter for Json {
--- a/crates/cli/src/export/mod.rs
+++ b/crates/cli/src/export/mod.rs
@@ -1,4 +1,4 @@
-//! Writes a report, one exporter a format.
+//! Export of a report, with one exporter per output format.
 
 mod json;
 mod svg;
@@ -8,9 +8,9 @@
 use crate::options::ReportFormat;
 use crate::report::Summary;
 
-/// Writes a report in one format.
+/// Exports a report in one format.
 trait Exporter {
-    /// Returns the report as text of the format.
+    /// Returns the exported report.
     fn export(&self, summary: &Summary) -> Result<String, Error>;
 }
 
--- a/crates/cli/src/export/svg.rs
+++ b/crates/cli/src/export/svg.rs
@@ -1,4 +1,4 @@
-//! The report as a picture: the share of good calls of each kind over time.
+//! SVG export of a report: a chart of the share of good calls over time, by kind.
 
 use plotters::prelude::*;
 
@@ -6,10 +6,10 @@
 use crate::export::Exporter;
 use crate::report::{Step, Summary};
 
-/// The size of the picture.
-const SIZE: (u32, u32) = (960, 480);
+/// The width and height of the chart in pixels.
+const SIZE_PIXELS: (u32, u32) = (960, 480);
 
-/// Writes an SVG picture.
+/// Exports a report as an SVG chart.
 pub(crate) struct Svg;
 
 impl Exporter for Svg {
@@ -27,7 +27,7 @@
     let times: Vec<u64> = all.map(|step| step.at.0).collect();
     let first = times.iter().min().copied().unwrap_or(0);
     let last = times.iter().max().copied().unwrap_or(1).max(first + 1);
-    let area = SVGBackend::with_string(text, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(text, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption("good calls, percent, by kind", ("sans-serif", 18))
@@ -40,8 +40,8 @@
         .x_desc("seconds since the first step")
         .y_desc("%")
         .draw()?;
-    for (at, burn) in summary.burns.iter().enumerate() {
-        let colour = Palette99::pick(at).to_rgba();
+    for (index, burn) in summary.burns.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         let points = burn
             .steps
             .iter()
--- a/crates/cli/src/export/text.rs
+++ b/crates/cli/src/export/text.rs
@@ -1,4 +1,4 @@
-//! The report as tables for people.
+//! Plain text export of a report: a table and notes.
 
 use std::fmt::Write as _;
 
@@ -9,7 +9,7 @@
 use crate::export::Exporter;
 use crate::report::{Burn, Summary};
 
-/// Writes tables.
+/// Exports a report as plain text.
 pub(crate) struct Text;
 
 impl Exporter for Text {
@@ -36,7 +36,7 @@
         let mut text = builder.build().with(Style::psql()).to_string();
         for burn in &summary.burns {
             for (reason, count) in &burn.total.refused {
-                // Writing to a string does not fail.
+                // Writing to a string can't fail.
                 let _ = write!(text, "\n{} refused for {reason}: {count}", burn.kind);
             }
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,6 @@
-//! The command line of sailtrack for operators.
+//! The `sailtrack` command line program for operators.
 
 mod apply;
-mod ask;
 mod burn;
 mod check;
 mod cli;
@@ -13,6 +12,7 @@
 mod options;
 mod output;
 mod report;
+mod run;
 
 use std::process::ExitCode;
 
@@ -35,7 +35,7 @@
     match options.action {
         Action::Check(check) => Ok(check::run(&check)),
         Action::Apply(apply) => sailtrack_net::runtime::run(apply::run(apply))?,
-        Action::Ask(ask) => sailtrack_net::runtime::run(ask::run(ask))?,
+        Action::Run(run) => sailtrack_net::runtime::run(run::run(run))?,
         Action::Explain(explain) => explain::run(&explain),
         Action::Report(report) => sailtrack_net::runtime::run(burn::run(report))?,
     }
--- a/crates/cli/src/node.rs
+++ b/crates/cli/src/node.rs
@@ -1,4 +1,4 @@
-//! Requests to a node's operator port.
+//! HTTP client of a node's operator port.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,16 +9,16 @@
 
 use crate::error::Error;
 
-/// How long one request may take; a change waits for the instances to have it in force.
-const REQUEST_TIME: Duration = Duration::from_secs(20);
+/// The timeout of a request; the answer to a change waits until it is in force on the instances.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A node's operator port.
+/// A client of one node's operator port.
 pub(crate) struct Node {
     address: SocketAddr,
     pool: Pool,
 }
 
-/// A command with who gives it and the id by which it can be asked for later.
+/// A command, the operator who gives it, and an id by which its result can be looked up later.
 pub(crate) struct Message<'a> {
     pub(crate) path: &'a str,
     pub(crate) operator: &'a str,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Sends a command and returns the status and the JSON of the answer.
+    /// Sends a command and returns the status and JSON body of the response.
     pub(crate) async fn post(&self, message: Message<'_>) -> Result<(u16, Value), Error> {
         let mut request = Request::new(Method::POST, message.path, message.body)
             .with("sailtrack-operator", message.operator)
@@ -43,7 +43,7 @@
         if let Some(base) = &message.base {
             request = request.with("sailtrack-base", base);
         }
-        let deadline = Instant::now() + REQUEST_TIME;
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
         match self.pool.exchange(request, deadline).await {
             Ok(response) => decode(&response),
             Err(error) if error.is_unsent() => Err(Error::Node(self.address, error)),
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Returns the JSON at a path.
+    /// Fetches the JSON document at a path.
     pub(crate) async fn get(&self, path: &str) -> Result<Value, Error> {
         let request = Request::new(Method::GET, path, "");
-        let deadline = Instant::now() + REQUEST_TIME;
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
         let response = self.pool.exchange(request, deadline).await;
         let response = response.map_err(|error| Error::Node(self.address, error))?;
         decode(&response).map(|(_, value)| value)
@@ -71,7 +71,7 @@
     Ok((response.status.as_u16(), value))
 }
 
-/// Returns a fresh id for a command.
+/// Returns a random id for a command.
 pub(crate) fn new_command_id() -> String {
     format!("{:016x}", rand::random::<u64>())
 }
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -1,4 +1,4 @@
-//! Checked options from the command line.
+//! Options of the subcommands, as parsed from the command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,14 +8,14 @@
 
 use crate::error::Error;
 
-/// How rows are shown.
+/// The output format of rows and results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Format {
     Table,
     Json,
 }
 
-/// How a report is shown.
+/// The output format of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReportFormat {
     Text,
@@ -23,13 +23,13 @@
     Svg,
 }
 
-/// What `check` is asked for.
+/// Options of `sailtrack check`.
 #[derive(Debug)]
 pub(crate) struct Check {
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// What `apply` is asked for.
+/// Options of `sailtrack apply`.
 #[derive(Debug)]
 pub(crate) struct Apply {
     pub(crate) file: PathBuf,
@@ -39,7 +39,7 @@
     pub(crate) format: Format,
 }
 
-/// Where the commands of `run` come from.
+/// The source of the commands of `sailtrack run`.
 #[derive(Debug)]
 pub(crate) enum Script {
     Line(String),
@@ -47,16 +47,16 @@
     Terminal,
 }
 
-/// What `run` is asked for.
+/// Options of `sailtrack run`.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct Run {
     pub(crate) script: Script,
     pub(crate) node: SocketAddr,
     pub(crate) operator: String,
     pub(crate) format: Format,
 }
 
-/// What `report` is asked for.
+/// Options of `sailtrack report`.
 #[derive(Debug)]
 pub(crate) struct Report {
     pub(crate) nodes: Vec<SocketAddr>,
@@ -67,41 +67,42 @@
     pub(crate) to: Option<PathBuf>,
 }
 
-/// What `explain` is asked for.
+/// Options of `sailtrack explain`.
 #[derive(Debug)]
 pub(crate) struct Explain {
-    /// The request to explain; without one all that did not succeed are counted.
+    /// The id of the request to explain; without one, all requests that did not succeed are
+    /// counted.
     pub(crate) request: Option<String>,
-    /// Standard input if there are none.
+    /// The log files; standard input is read if there are none.
     pub(crate) logs: Vec<PathBuf>,
     pub(crate) format: Format,
 }
 
-/// What is to be done.
+/// The subcommand with its options.
 #[derive(Debug)]
 pub(crate) enum Action {
     Check(Check),
     Apply(Apply),
-    Ask(Ask),
+    Run(Run),
     Report(Report),
     Explain(Explain),
 }
 
-/// The whole of the command line.
+/// The parsed command line.
 #[derive(Debug)]
 pub(crate) struct Options {
     pub(crate) action: Action,
 }
 
 impl Options {
-    /// Returns the options, or what is wrong with them.
+    /// Returns the options, or an error that says what is wrong with them.
     pub(crate) fn from_matches(matches: &ArgMatches) -> Result<Self, Error> {
         let action = match matches.subcommand() {
             Some(("check", matches)) => Action::Check(check(matches)),
             Some(("apply", matches)) => Action::Apply(apply(matches)),
             Some(("explain", matches)) => Action::Explain(explain(matches)),
             Some(("report", matches)) => Action::Report(report(matches)?),
-            Some((_, matches)) => Action::Ask(ask(matches)),
+            Some((_, matches)) => Action::Run(run(matches)),
             None => return Err(Error::Refused("a subcommand is needed".to_owned())),
         };
         Ok(Self { action })
@@ -117,15 +118,15 @@
 
 fn apply(matches: &ArgMatches) -> Apply {
     Apply {
-        file: one(matches, "file"),
-        node: one(matches, "node"),
-        operator: one(matches, "operator"),
+        file: required(matches, "file"),
+        node: required(matches, "node"),
+        operator: required(matches, "operator"),
         base: matches.get_one("base").copied(),
         format: format(matches),
     }
 }
 
-fn ask(matches: &ArgMatches) -> Ask {
+fn run(matches: &ArgMatches) -> Run {
     let words: Vec<String> = matches
         .get_many::<String>("command")
         .into_iter()
@@ -138,10 +139,10 @@
         (true, Some(file)) => Script::File(file),
         (true, None) => Script::Terminal,
     };
-    Ask {
+    Run {
         script,
-        node: one(matches, "node"),
-        operator: one(matches, "operator"),
+        node: required(matches, "node"),
+        operator: required(matches, "operator"),
         format: format(matches),
     }
 }
@@ -149,7 +150,7 @@
 fn report(matches: &ArgMatches) -> Result<Report, Error> {
     let nodes = matches.get_many::<SocketAddr>("node");
     let to = matches.get_one::<PathBuf>("to").cloned();
-    let format = match one::<String>(matches, "output").as_str() {
+    let format = match required::<String>(matches, "output").as_str() {
         "json" => ReportFormat::Json,
         "svg" => ReportFormat::Svg,
         _ => ReportFormat::Text,
@@ -159,8 +160,8 @@
     }
     Ok(Report {
         nodes: nodes.into_iter().flatten().copied().collect(),
-        short: one(matches, "short"),
-        long: one(matches, "long"),
+        short: required(matches, "short"),
+        long: required(matches, "long"),
         event: matches.get_one::<String>("event").cloned(),
         format,
         to,
@@ -168,15 +169,15 @@
 }
 
 fn explain(matches: &ArgMatches) -> Explain {
-    let named = matches.get_one::<String>("request").cloned();
+    let first = matches.get_one::<String>("request").cloned();
     let logs = matches.get_many::<PathBuf>("logs");
     let mut logs: Vec<PathBuf> = logs.into_iter().flatten().cloned().collect();
-    // With --all there is no id, and what stands in its place is the first log.
+    // With --all there is no request id, so the first positional argument is a log file.
     let request = if matches.get_flag("all") {
-        logs.splice(0..0, named.map(PathBuf::from));
+        logs.splice(0..0, first.map(PathBuf::from));
         None
     } else {
-        named
+        first
     };
     Explain {
         request,
@@ -186,14 +187,14 @@
 }
 
 fn format(matches: &ArgMatches) -> Format {
-    match one::<String>(matches, "output").as_str() {
+    match required::<String>(matches, "output").as_str() {
         "json" => Format::Json,
         _ => Format::Table,
     }
 }
 
-/// Returns an argument that the command line says is always there.
-fn one<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
+/// Returns an argument that is required or has a default, so that it always has a value.
+fn required<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
     let value = matches.get_one::<T>(name).cloned();
     value.expect("the argument is required or has a default")
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Answers of nodes as tables, JSON and exit codes.
+//! Prints responses of nodes as tables or JSON and maps them to exit statuses.
 
 use serde_json::Value;
 use tabled::builder::Builder;
@@ -7,7 +7,7 @@
 use crate::exit::Exit;
 use crate::options::Format;
 
-/// Prints the answer to a command.
+/// Prints the response to a command.
 pub(crate) fn print(value: &Value, format: Format) {
     if format == Format::Json {
         println!("{value}");
@@ -27,12 +27,12 @@
 
 fn print_rows(value: &Value) {
     let mut builder = Builder::default();
-    builder.push_record(texts(&value["columns"]));
+    builder.push_record(to_strings(&value["columns"]));
     for row in value["rows"].as_array().into_iter().flatten() {
-        builder.push_record(texts(row));
+        builder.push_record(to_strings(row));
     }
     println!("{}", builder.build().with(Style::psql()));
-    for note in texts(&value["notes"]) {
+    for note in to_strings(&value["notes"]) {
         eprintln!("note: {note}");
     }
 }
@@ -50,12 +50,13 @@
             "in force on {count} of {of} instances after {} ms",
             in_force["after_ms"]
         );
-        for name in texts(&in_force["missing"]) {
+        for name in to_strings(&in_force["missing"]) {
             println!("not seen on {name}");
         }
     }
 }
 
+/// Says which change was accepted before the one that conflicts with it.
 fn describe_winner(winner: &Value) -> String {
     match winner["operator"].as_str() {
         Some(operator) => {
@@ -66,7 +67,7 @@
     }
 }
 
-fn texts(value: &Value) -> Vec<String> {
+fn to_strings(value: &Value) -> Vec<String> {
     let items = value.as_array().into_iter().flatten();
     let texts = items.map(|item| {
         item.as_str()
@@ -75,7 +76,7 @@
     texts.collect()
 }
 
-/// Returns the exit code for an answer.
+/// Returns the exit status for a response.
 pub(crate) fn exit(status: u16, value: &Value) -> Exit {
     match (status, value["result"].as_str()) {
         (400, _) => Exit::Usage,
@@ -88,6 +89,7 @@
     }
 }
 
+/// Returns true if some instances have not confirmed that the change is in force.
 fn is_partial(value: &Value) -> bool {
     let missing = value["in_force"]["missing"].as_array();
     missing.is_some_and(|missing| !missing.is_empty())
--- a/crates/cli/src/report/burn.rs
+++ b/crates/cli/src/report/burn.rs
@@ -1,78 +1,84 @@
-//! Works out how much of the error budget is spent, and how fast.
+//! Computes how much of the error budget is spent, and the burn rates in a short and a long window.
 
 use std::collections::BTreeMap;
 
 use sailtrack_units::{Period, Timestamp};
 use serde::Serialize;
 
-use crate::report::gather::{Gathered, KindCounts};
+use crate::report::gather::{ClusterCounts, KindCounts};
 use crate::report::step::Step;
 
-/// The burn of one kind.
+/// The spent error budget and burn rates of one kind of request.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Burn {
     pub(crate) kind: String,
     pub(crate) service: String,
-    /// The share of calls that should be good.
+    /// The service level objective: the share of calls that should be good.
     pub(crate) objective: f64,
+    /// The sum of all steps.
     pub(crate) total: Step,
     /// The share of calls that were good.
     pub(crate) achieved: f64,
-    /// The share of the error budget that is spent; above one it is overspent.
+    /// The share of the error budget that is spent; above 1.0 the objective is missed.
     pub(crate) budget_spent: f64,
-    /// How many times faster than allowed the budget is spent in the short window.
+    /// The burn rate in the short window; at 1.0, errors just use up the error budget.
     pub(crate) short_rate: f64,
-    /// The same in the long window.
+    /// The burn rate in the long window.
     pub(crate) long_rate: f64,
-    /// The counts over time.
+    /// The counts per time step, in order of time.
     pub(crate) steps: Vec<Step>,
 }
 
-/// The whole report.
+/// A report on all kinds of requests.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Summary {
+    /// How many nodes answered.
     pub(crate) nodes: usize,
+    /// Error messages of the nodes that did not answer.
     pub(crate) missing: Vec<String>,
     pub(crate) step_ms: u64,
     pub(crate) short: String,
     pub(crate) long: String,
+    /// How many requests have an unknown outcome that no operator has settled.
     pub(crate) unknown_open: u64,
     pub(crate) burns: Vec<Burn>,
 }
 
-/// Returns the report on what was gathered.
-pub(crate) fn summarize(gathered: Gathered, short: Period, long: Period) -> Summary {
-    let latest = latest(&gathered);
-    let kinds = gathered.kinds.into_values();
-    let burns = kinds.map(|kind| burn(kind, latest, short, long));
+/// Computes the report from the counts of the nodes.
+pub(crate) fn summarize(counts: ClusterCounts, short: Period, long: Period) -> Summary {
+    let latest_step_time = latest_step_time(&counts);
+    let kinds = counts.kinds.into_values();
+    let burns = kinds.map(|kind| burn(kind, latest_step_time, short, long));
     Summary {
-        nodes: gathered.nodes,
-        missing: gathered.missing,
-        step_ms: gathered.step_ms,
+        nodes: counts.nodes,
+        missing: counts.missing,
+        step_ms: counts.step_ms,
         short: short.to_string(),
         long: long.to_string(),
-        unknown_open: gathered.unknown_open,
+        unknown_open: counts.unknown_open,
         burns: burns.collect(),
     }
 }
 
-fn latest(gathered: &Gathered) -> Timestamp {
-    let kinds = gathered.kinds.values();
+/// Returns the time of the newest step; the windows end with it, not with the current time.
+fn latest_step_time(counts: &ClusterCounts) -> Timestamp {
+    let kinds = counts.kinds.values();
     let times = kinds.flat_map(|kind| kind.steps.iter().map(|step| step.at));
     times.max().unwrap_or_default()
 }
 
-fn burn(kind: KindCounts, latest: Timestamp, short: Period, long: Period) -> Burn {
+fn burn(kind: KindCounts, latest_step_time: Timestamp, short: Period, long: Period) -> Burn {
     let steps = merge(&kind.steps);
-    let total = sum(&steps, Timestamp(0));
-    let since = |window: Period| Timestamp(latest.0.saturating_sub(window.as_millis()));
+    let total = sum_since(&steps, Timestamp(0));
+    let start_of =
+        |window: Period| Timestamp(latest_step_time.0.saturating_sub(window.as_millis()));
     let budget = (1.0 - kind.objective).max(f64::EPSILON);
     let rate = |step: &Step| bad_share(step) / budget;
     Burn {
         achieved: 1.0 - bad_share(&total),
         budget_spent: rate(&total),
-        short_rate: rate(&sum(&steps, since(short))),
-        long_rate: rate(&sum(&steps, since(long))),
+        short_rate: rate(&sum_since(&steps, start_of(short))),
+        long_rate: rate(&sum_since(&steps, start_of(long))),
         kind: kind.kind,
         service: kind.service,
         objective: kind.objective,
@@ -81,7 +87,7 @@
     }
 }
 
-/// Returns the steps of several nodes as one series.
+/// Adds up the steps of several nodes into one time series.
 fn merge(steps: &[Step]) -> Vec<Step> {
     let mut merged: BTreeMap<Timestamp, Step> = BTreeMap::new();
     for step in steps {
@@ -92,7 +98,7 @@
     merged.into_values().collect()
 }
 
-fn sum(steps: &[Step], since: Timestamp) -> Step {
+fn sum_since(steps: &[Step], since: Timestamp) -> Step {
     let mut total = Step::default();
     for step in steps.iter().filter(|step| step.at >= since) {
         total.add(step);
--- a/crates/cli/src/report/gather.rs
+++ b/crates/cli/src/report/gather.rs
@@ -1,4 +1,4 @@
-//! Gathers the counts of several nodes.
+//! Collects the call counts of several nodes.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::options::Report;
 use crate::report::step::Step;
 
-/// What one node counted for one kind.
+/// The counts of one kind of request, from one or several nodes.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct KindCounts {
     pub(crate) kind: String,
@@ -19,7 +19,7 @@
     pub(crate) steps: Vec<Step>,
 }
 
-/// The window of a declared event.
+/// The start and end of a declared event.
 #[derive(Debug, Clone, Deserialize)]
 struct EventWindow {
     event: String,
@@ -27,7 +27,7 @@
     end: Timestamp,
 }
 
-/// What one node answers.
+/// The response of one node.
 #[derive(Debug, Clone, Deserialize)]
 struct NodeCounts {
     step_ms: u64,
@@ -36,36 +36,38 @@
     events: Vec<EventWindow>,
 }
 
-/// The counts of all nodes together.
+/// The combined counts of all nodes.
 #[derive(Debug, Default)]
-pub(crate) struct Gathered {
+pub(crate) struct ClusterCounts {
     pub(crate) step_ms: u64,
     pub(crate) unknown_open: u64,
     pub(crate) kinds: BTreeMap<String, KindCounts>,
     pub(crate) nodes: usize,
-    /// The nodes that did not answer.
+    /// Error messages of the nodes that did not answer.
     pub(crate) missing: Vec<String>,
 }
 
-/// Asks every node and adds up what they counted.
-pub(crate) async fn gather(report: &Report) -> Result<Gathered, Error> {
-    let mut gathered = Gathered::default();
+/// Fetches the counts of every node and combines them; a node that does not answer is recorded as
+/// missing.
+pub(crate) async fn gather(report: &Report) -> Result<ClusterCounts, Error> {
+    let mut total = ClusterCounts::default();
     for address in &report.nodes {
         let value = match Node::new(*address).get("/burn").await {
             Ok(value) => value,
             Err(error) => {
-                gathered.missing.push(error.to_string());
+                total.missing.push(error.to_string());
                 continue;
             }
         };
         let counts: NodeCounts =
             serde_json::from_value(value).map_err(|error| Error::Answer(error.to_string()))?;
         let window = window(&counts, report.event.as_deref())?;
-        add(&mut gathered, counts, window);
+        add(&mut total, counts, window);
     }
-    Ok(gathered)
+    Ok(total)
 }
 
+/// Returns the start and end of the named event, or all of time without a name.
 fn window(counts: &NodeCounts, event: Option<&str>) -> Result<(Timestamp, Timestamp), Error> {
     let Some(name) = event else {
         return Ok((Timestamp(0), Timestamp(u64::MAX)));
@@ -76,16 +78,16 @@
     Ok((found.start, found.end))
 }
 
-fn add(gathered: &mut Gathered, counts: NodeCounts, (start, end): (Timestamp, Timestamp)) {
-    gathered.nodes += 1;
-    gathered.step_ms = counts.step_ms;
-    gathered.unknown_open += counts.unknown_open;
+fn add(total: &mut ClusterCounts, counts: NodeCounts, (start, end): (Timestamp, Timestamp)) {
+    total.nodes += 1;
+    total.step_ms = counts.step_ms;
+    total.unknown_open += counts.unknown_open;
     for mut kind in counts.kinds {
         kind.steps.retain(|step| (start..end).contains(&step.at));
-        match gathered.kinds.get_mut(&kind.kind) {
+        match total.kinds.get_mut(&kind.kind) {
             Some(known) => known.steps.extend(kind.steps),
             None => {
-                gathered.kinds.insert(kind.kind.clone(), kind);
+                total.kinds.insert(kind.kind.clone(), kind);
             }
         }
     }
--- a/crates/cli/src/report/mod.rs
+++ b/crates/cli/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The account of service-level burn, by service and kind.
+//! Error budget report, by service and kind of request.
 
 mod burn;
 mod gather;
@@ -10,8 +10,8 @@
 pub(crate) use burn::{Burn, Summary};
 pub(crate) use step::Step;
 
-/// Asks the nodes what they counted and works out the burn.
+/// Fetches the counts of the nodes and computes the report.
 pub(crate) async fn summary(report: &Report) -> Result<Summary, Error> {
-    let gathered = gather::gather(report).await?;
-    Ok(burn::summarize(gathered, report.short, report.long))
+    let counts = gather::gather(report).await?;
+    Ok(burn::summarize(counts, report.short, report.long))
 }
