--- a/crates/cli/src/explain/cause.rs
+++ b/crates/cli/src/explain/cause.rs
@@ -1,18 +1,19 @@
-//! Why a request ended as it did, in one sentence.
+//! Root causes of failed requests, each printed as one sentence.
 
 use displaydoc::Display;
 use serde::Serialize;
 
 use crate::explain::line::{
-    ANSWER_LOST, ANSWERED_BADLY, FAILED, GONE, KEY_REFUSED, Line, OUTDATED, PEER_LOST, REFUSED,
-    RETIRED, STARTED, STOPPING, STORE_LOST,
+    ANSWER_LOST, KEY_REFUSED, KEYS_OUTDATED, Line, PEER_LOST, PLATFORM_LOST, PROCESS_STARTED,
+    REQUEST_ANSWERED_BADLY, REQUEST_FAILED, REQUEST_REFUSED, STOP_REQUESTED, UPSTREAM_GONE,
+    UPSTREAM_RETIRED,
 };
-use crate::explain::trail::Trail;
+use crate::explain::trace::Trace;
 
-/// Stands for a node that no log names.
-const NOBODY: &str = "a node whose log is not here";
+/// Stands for a node that is not named in any log.
+const UNKNOWN_NODE: &str = "a node whose log is not here";
 
-/// Why a request ended as it did.
+/// The root cause of a request's outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Serialize)]
 #[serde(rename_all = "snake_case", tag = "name")]
 pub(super) enum Cause {
@@ -72,20 +73,20 @@
 }
 
 impl Cause {
-    /// The name of a call's failure about which nothing was written.
+    /// The name of the cause for a nested call that failed and was not logged.
     pub(super) const CALL_UNTOLD: &str = "call_untold";
 
-    /// Finds the cause of a request's end.
-    pub(super) fn of(trail: &Trail, request: &str) -> Self {
-        match trail.end(request) {
+    /// Determines the cause of a request's outcome from its trace.
+    pub(super) fn of(trace: &Trace, request: &str) -> Self {
+        match trace.end(request) {
             None => Self::Untold {
                 request: request.to_owned(),
             },
-            Some(end) => Self::of_end(trail, end, request),
+            Some(end) => Self::of_end(trace, end, request),
         }
     }
 
-    /// Returns the cause furthest down.
+    /// Returns the cause at the most deeply nested call.
     pub(super) fn deepest(&self) -> &Self {
         match self {
             Self::CallFailed { cause, .. } => cause.deepest(),
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Returns the node where it was decided, if one is known.
+    /// Returns the node to which the cause is attributed, if one is known.
     pub(super) fn node(&self) -> Option<&String> {
         match self {
             Self::Full { node, .. }
@@ -110,7 +111,7 @@
             | Self::UpstreamFailed { node, .. }
             | Self::CallUntold { node, .. }
             | Self::CallFailed { node, .. } => Some(node).filter(|node| *node != "none"),
-            Self::HeldBack { last, .. } => Some(last).filter(|node| *node != NOBODY),
+            Self::HeldBack { last, .. } => Some(last).filter(|node| *node != UNKNOWN_NODE),
             Self::Untold { .. }
             | Self::NoUpstream { .. }
             | Self::NoKey { .. }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Returns its name, the same as in JSON.
+    /// Returns the name of the cause, the same as in JSON output.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Self::Untold { .. } => "untold",
@@ -145,32 +146,32 @@
         }
     }
 
-    fn of_end(trail: &Trail, end: &Line, request: &str) -> Self {
+    fn of_end(trace: &Trace, end: &Line, request: &str) -> Self {
         match end.event {
-            REFUSED => Self::of_refusal(trail, end),
-            FAILED if end.field("status") == "504" => Self::Late {
+            REQUEST_REFUSED => Self::of_refusal(trace, end),
+            REQUEST_FAILED if end.field("status") == "504" => Self::Late {
                 node: end.field("node").to_owned(),
                 after: format!("{} ms", end.field("after_ms")),
-                detail: detail(trail, end.field("node")),
+                detail: detail(trace, end.field("node")),
             },
-            FAILED => Self::of_loss(trail, end),
+            REQUEST_FAILED => Self::of_lost_response(trace, end),
             KEY_REFUSED => Self::NoKey {
                 reason: end.field("reason").to_owned(),
                 version: end.field("version").to_owned(),
             },
-            ANSWERED_BADLY => Self::of_bad_answer(trail, end, request),
+            REQUEST_ANSWERED_BADLY => Self::of_failed_response(trace, end, request),
             _ => Self::Untold {
                 request: request.to_owned(),
             },
         }
     }
 
-    fn of_refusal(trail: &Trail, end: &Line) -> Self {
+    fn of_refusal(trace: &Trace, end: &Line) -> Self {
         let node = end.field("node").to_owned();
         match end.field("reason") {
-            "REASON_OVERLOAD" => Self::of_overload(trail, end),
+            "REASON_OVERLOAD" => Self::of_overload(trace, end),
             "REASON_NO_UPSTREAM" => Self::NoUpstream {
-                detail: detail(trail, &node),
+                detail: detail(trace, &node),
             },
             "REASON_UPSTREAM_SHED" => Self::TurnedAway {
                 node,
@@ -181,11 +182,11 @@
             },
             "REASON_DRAINING" => Self::Stopping { node },
             "REASON_QUARANTINED" => Self::HeldBack {
-                crashes: trail.crashes.len(),
-                last: trail
+                crashes: trace.crashes.len(),
+                last: trace
                     .crashes
                     .last()
-                    .map_or_else(|| NOBODY.to_owned(), |line| line.node.clone()),
+                    .map_or_else(|| UNKNOWN_NODE.to_owned(), |line| line.node.clone()),
             },
             "REASON_ON_TRIAL" => Self::OnTrial { node },
             "REASON_OVER_QUOTA" => Self::OverQuota {
@@ -195,11 +196,11 @@
             "REASON_QUOTA_NOT_KNOWN" => Self::NoAllocator {
                 node: end.node.clone(),
                 workspace: end.field("workspace").to_owned(),
-                detail: detail(trail, &end.node),
+                detail: detail(trace, &end.node),
             },
             "REASON_KEYS_OUTDATED" => Self::KeysOutdated {
                 node: end.node.clone(),
-                detail: detail(trail, &end.node),
+                detail: detail(trace, &end.node),
             },
             reason => Self::NotRun {
                 reason: reason.to_owned(),
@@ -207,15 +208,16 @@
         }
     }
 
-    /// A gate refuses for its own queue, or because the kind meets too much pressure further down.
-    fn of_overload(trail: &Trail, end: &Line) -> Self {
+    /// Tells the two causes of an overload refusal apart by what limited the request at the gate: the
+    /// queue of the node, or the window of the kind, which is small while its callees are overloaded.
+    fn of_overload(trace: &Trace, end: &Line) -> Self {
         let node = end.field("node").to_owned();
-        let at_gate = trail.lines.iter().rev().find(|line| {
-            line.event == REFUSED
+        let gate_refusal = trace.lines.iter().rev().find(|line| {
+            line.event == REQUEST_REFUSED
                 && line.field("at") == "gate"
                 && line.field("request") == end.field("request")
         });
-        match at_gate {
+        match gate_refusal {
             Some(gate) if gate.field("bound") == "window" => Self::FullBelow {
                 node,
                 pressure: end.field("pressure").to_owned(),
@@ -231,29 +233,29 @@
         }
     }
 
-    fn of_loss(trail: &Trail, end: &Line) -> Self {
+    fn of_lost_response(trace: &Trace, end: &Line) -> Self {
         let node = end.field("node").to_owned();
-        match trail.event(ANSWER_LOST, end.field("request")) {
+        match trace.event(ANSWER_LOST, end.field("request")) {
             Some(loss) => Self::AnswerLost {
                 node: loss.node.clone(),
                 reason: loss.field("reason").to_owned(),
             },
-            None => match detail(trail, &node) {
+            None => match detail(trace, &node) {
                 detail if detail.is_empty() => Self::LostSomewhere { node },
                 detail => Self::ConnectionLost { node, detail },
             },
         }
     }
 
-    fn of_bad_answer(trail: &Trail, end: &Line, request: &str) -> Self {
+    fn of_failed_response(trace: &Trace, end: &Line, request: &str) -> Self {
         let node = end.field("node").to_owned();
         let status = end.field("status").to_owned();
-        match trail.deepest_failure(request) {
+        match trace.deepest_failure(request) {
             Some(call) => Self::CallFailed {
                 node,
                 status,
                 call: call.field("request").to_owned(),
-                cause: Box::new(Self::of_end(trail, call, call.field("request"))),
+                cause: Box::new(Self::of_end(trace, call, call.field("request"))),
             },
             None if end.field("below") == "true" => Self::CallUntold { node, status },
             None => Self::UpstreamFailed { node, status },
@@ -261,12 +263,19 @@
     }
 }
 
-/// Returns what happened to a node around the request.
-fn detail(trail: &Trail, node: &str) -> String {
-    let numbers = [
-        STARTED, STOPPING, GONE, RETIRED, PEER_LOST, OUTDATED, STORE_LOST,
+/// Returns the last state change of a node around the request, as text to append; empty if there is
+/// none.
+fn detail(trace: &Trace, node: &str) -> String {
+    let events = [
+        PROCESS_STARTED,
+        STOP_REQUESTED,
+        UPSTREAM_GONE,
+        UPSTREAM_RETIRED,
+        PEER_LOST,
+        KEYS_OUTDATED,
+        PLATFORM_LOST,
     ];
-    match trail.state_of(node, &numbers) {
+    match trace.state_of(node, &events) {
         Some(line) => format!(
             ", and {} said at {}: {}",
             line.node, line.time, line.message
--- a/crates/cli/src/explain/mod.rs
+++ b/crates/cli/src/explain/mod.rs
@@ -1,12 +1,12 @@
-//! `sailtrack explain`: from the id of a request to its cause, out of the logs of nodes.
+//! `sailtrack explain`: finds the root cause of a request's failure in the logs of nodes.
 
+mod aggregate;
 mod cause;
-mod census;
 mod line;
-mod places;
-mod rounds;
+mod sampling;
 mod table;
-mod trail;
+mod topology;
+mod trace;
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -18,15 +18,15 @@
 use crate::error::Error;
 use crate::exit::Exit;
 use crate::options::{Explain, Format};
+use aggregate::Aggregate;
 use cause::Cause;
-use census::Census;
 use line::Line;
-use trail::Trail;
+use trace::Trace;
 
-/// The name of the node in logs from standard input that name none.
-const NO_SOURCE: &str = "-";
+/// Stands for the node of a line from standard input that does not name one.
+const UNKNOWN_NODE: &str = "-";
 
-/// Prints what the logs say about a request, or about all that did not succeed.
+/// Explains one request, or counts all requests that did not succeed.
 pub(crate) fn run(explain: &Explain) -> Result<Exit, Error> {
     match &explain.request {
         Some(request) => explain_one(explain, request),
@@ -34,11 +34,11 @@
     }
 }
 
-/// Prints how many requests ended in which way.
+/// Prints how many requests failed, by kind, service and root cause.
 fn explain_all(explain: &Explain) -> Result<Exit, Error> {
-    let mut census = Census::default();
-    each_log(&explain.logs, |log, source| census.read(log, source))?;
-    let (counts, left_out) = census.count();
+    let mut aggregate = Aggregate::default();
+    for_each_log(&explain.logs, |log, source| aggregate.read(log, source))?;
+    let (counts, left_out) = aggregate.count();
     match explain.format {
         Format::Json => {
             let rows: Vec<_> = counts
@@ -48,9 +48,9 @@
             println!("{}", json!({"endings": rows, "events_left_out": left_out}));
         }
         Format::Table => {
-            println!("{}", table::ways(&counts));
-            println!("{}", table::seconds(&counts));
-            if let Some(workspaces) = table::workspaces(&counts) {
+            println!("{}", table::by_reason(&counts));
+            println!("{}", table::by_second(&counts));
+            if let Some(workspaces) = table::by_workspace(&counts) {
                 println!("{workspaces}");
             }
             println!("nodes left out {left_out} events; the numbers above allow for them");
@@ -63,17 +63,17 @@
     })
 }
 
-/// Prints what the logs say about a request and what follows from it.
+/// Prints the log lines that concern a request, and its root cause.
 fn explain_one(explain: &Explain, request: &str) -> Result<Exit, Error> {
-    let mut trail = Trail::default();
-    each_log(&explain.logs, |log, source| {
-        trail.read(request, log, source)
+    let mut trace = Trace::default();
+    for_each_log(&explain.logs, |log, source| {
+        trace.read(request, log, source)
     })?;
-    trail.settle();
-    let cause = Cause::of(&trail, request);
+    trace.finish();
+    let cause = Cause::of(&trace, request);
     match explain.format {
-        Format::Json => println!("{}", to_json(&trail, &cause)),
-        Format::Table => print(&trail, &cause),
+        Format::Json => println!("{}", to_json(&trace, &cause)),
+        Format::Table => print(&trace, &cause),
     }
     Ok(match cause {
         Cause::Untold { .. } => Exit::Unknown,
@@ -81,60 +81,60 @@
     })
 }
 
-/// Hands each log with the name of its node to `read`, or standard input if there are none.
-fn each_log(
+/// Passes each log and the name of its node to `read`; standard input if there are no log files.
+fn for_each_log(
     logs: &[PathBuf],
     mut read: impl FnMut(&mut dyn BufRead, &str) -> io::Result<()>,
 ) -> Result<(), Error> {
     for file in logs {
-        let in_file = |error| Error::File(file.clone(), error);
-        let open = File::open(file).map_err(in_file)?;
-        read(&mut BufReader::new(open), &node_of(file)).map_err(in_file)?;
+        let to_error = |error| Error::File(file.clone(), error);
+        let log = File::open(file).map_err(to_error)?;
+        read(&mut BufReader::new(log), &node_name(file)).map_err(to_error)?;
     }
     if logs.is_empty() {
-        read(&mut stdin().lock(), NO_SOURCE)?;
+        read(&mut stdin().lock(), UNKNOWN_NODE)?;
     }
     Ok(())
 }
 
-/// Returns the node that a log file is named after.
-fn node_of(file: &Path) -> String {
+/// Returns the name of the node whose log a file is: the file name without its extension.
+fn node_name(file: &Path) -> String {
     let stem = file.file_stem().unwrap_or(file.as_os_str());
     stem.to_string_lossy().into_owned()
 }
 
-fn to_json(trail: &Trail, cause: &Cause) -> serde_json::Value {
+fn to_json(trace: &Trace, cause: &Cause) -> serde_json::Value {
     json!({
         "cause": cause,
         "sentence": cause.to_string(),
-        "lines": trail.lines,
-        "around": trail.around,
-        "crashes": trail.crashes,
-        "gaps": trail.gaps,
+        "lines": trace.lines,
+        "around": trace.around,
+        "crashes": trace.crashes,
+        "gaps": trace.gaps,
     })
 }
 
-fn print(trail: &Trail, cause: &Cause) {
-    for line in &trail.lines {
+fn print(trace: &Trace, cause: &Cause) {
+    for line in &trace.lines {
         print_line(line);
     }
-    if !trail.around.is_empty() {
+    if !trace.around.is_empty() {
         println!("around it:");
-        for line in &trail.around {
+        for line in &trace.around {
             print_line(line);
         }
     }
-    if !trail.crashes.is_empty() {
+    if !trace.crashes.is_empty() {
         println!("upstreams that ended under it:");
-        for line in &trail.crashes {
+        for line in &trace.crashes {
             print_line(line);
         }
     }
-    print_gaps(&trail.gaps);
+    print_gaps(&trace.gaps);
     println!("cause: {cause}");
 }
 
-/// Says for each node how much it left out; what is missing above may be among it.
+/// Prints for each node how many lines it dropped; lines missing from the trace may be among them.
 fn print_gaps(gaps: &[Line]) {
     let mut left_out = BTreeMap::<&str, u64>::new();
     for line in gaps {
