--- a/crates/cli/src/explain/cause.rs
+++ b/crates/cli/src/explain/cause.rs
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Tells the two causes of an overload refusal apart by what limited the request at the gate: the
-    /// queue of the node, or the window of the kind, which is small while its callees are overloaded.
+    /// Distinguishes two causes of refusals for overload: the node's own queue is full, or the window
+    /// of the kind is, because its callees are overloaded.
     fn of_overload(trace: &Trace, end: &Line) -> Self {
         let node = end.field("node").to_owned();
         let gate_refusal = trace.lines.iter().rev().find(|line| {
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From the id of a failed request to its cause, out of logs.
+//! `sailtrack explain ID` finds the root cause of a failed request in logs.
 
 mod support;
 
@@ -21,10 +21,10 @@
     end(800, &all)
 }
 
-/// Returns the last line of the output, which tells the cause.
+/// Returns the cause, from the last line of the output.
 fn cause(logs: &str) -> String {
     let output = explain(&["a1"], logs);
-    let text = String::from_utf8(output.stdout).expect("it is text");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     let last = text.lines().last().unwrap_or_default();
     last.strip_prefix("cause: ").unwrap_or_default().to_owned()
 }
@@ -67,7 +67,8 @@
     );
 }
 
-/// From one refused attempt to the crashes that are its reason, minutes before on other nodes.
+/// An attempt refused because of quarantine is traced back to the crashes of upstreams that ran
+/// the request before, on other nodes.
 #[test]
 fn held_back() {
     let identity = "0f3a9c11d2e4b5a60718293a4b5c6d7e";
@@ -97,11 +98,11 @@
         + &refused("REASON_QUARANTINED", &json!({"node": "none"}));
     assert_cause(&logs, &["has not run", "3 upstreams ended", "beside pay-3"]);
     let output = explain(&["a1"], &logs);
-    let text = String::from_utf8(output.stdout).expect("it is text");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     for upstream in ["i-1", "i-2", "i-3"] {
         assert!(text.contains(&format!("upstream={upstream}")), "{text}");
     }
-    assert!(!text.contains("i-9"), "another request ended that one");
+    assert!(!text.contains("i-9"), "i-9 crashed under another request");
 }
 
 #[test]
@@ -179,7 +180,7 @@
     );
 }
 
-/// The failure is looked for at the call furthest down.
+/// The cause is taken from the most deeply nested call.
 #[test]
 fn call_failed() {
     let call = json!({"request": "a1.b.c", "kind": "read", "at": "entry", "node": "none",
@@ -208,7 +209,7 @@
     );
 }
 
-/// Calls that fail beside each other are not taken for calls of each other.
+/// Sibling calls that fail are not mistaken for calls nested in each other.
 #[test]
 fn calls_side_by_side() {
     let calls = ["a1.b", "a1.c"].map(|call| {
@@ -260,9 +261,9 @@
     let file = format!("{folder}/desk-9.log");
     let text = refused("REASON_UPSTREAM_SHED", &json!({"tries": "5"}));
     let text = text.trim_start_matches("desk-1 ");
-    std::fs::write(&file, text).expect("it can be written");
+    std::fs::write(&file, text).expect("the log can be written");
     let output = explain(&["a1", &file, "--output", "json"], "");
-    let value: Value = serde_json::from_slice(&output.stdout).expect("it is JSON");
+    let value: Value = serde_json::from_slice(&output.stdout).expect("the output is JSON");
     assert_eq!(value["cause"]["name"], "turned_away");
     assert_eq!(value["cause"]["tries"], "5");
     assert_eq!(value["lines"][0]["node"], "desk-9");
--- a/crates/cli/tests/request_ends.rs
+++ b/crates/cli/tests/request_ends.rs
@@ -1,4 +1,5 @@
-//! How all requests ended that did not succeed, out of logs.
+//! `sailtrack explain` without an id counts the requests that did not succeed, by kind, service and
+//! root cause.
 
 mod support;
 
@@ -8,10 +9,10 @@
 fn endings(logs: &str) -> Value {
     let output = explain(&["--output", "json"], logs);
     assert_eq!(output.status.code(), Some(0));
-    serde_json::from_slice(&output.stdout).expect("it is JSON")
+    serde_json::from_slice(&output.stdout).expect("the output is JSON")
 }
 
-/// Returns the requests that ended so, at a service and for a reason.
+/// Returns the estimated number of requests that failed at a service for a reason.
 fn requests(endings: &Value, service: &str, reason: &str) -> f64 {
     let rows = endings["endings"].as_array().expect("a list");
     let rows = rows
@@ -21,7 +22,7 @@
         .sum()
 }
 
-/// The nodes of two services say what stands beside them.
+/// Returns the log lines in which two nodes name the services of their upstreams.
 fn announced() -> String {
     let bank = json!({"service": "bank", "slots": "8"});
     let desk = json!({"service": "desk", "slots": "8"});
@@ -52,7 +53,8 @@
     )
 }
 
-/// A request is put down to the call that ended it, a refused one to the gate that was full.
+/// A failed request is attributed to the nested call that failed, and a refused one to the node
+/// whose queue was full.
 #[test]
 fn deepest_decision() {
     let logs = announced()
@@ -73,7 +75,7 @@
     assert_eq!(lookup["ending"]["second"], "2026-12-02T09:00:05");
 }
 
-/// A node wrote two of eight refusals: each stands for four.
+/// A node logged two of eight refusals, so each of the two counts as four.
 #[test]
 fn left_out() {
     let gap = json!({"count": "6", "about": "refusals", "kept": "0", "span_ms": "1000"});
@@ -90,7 +92,8 @@
     assert_eq!(endings["events_left_out"], 6);
 }
 
-/// The busy node left out the call of one request; it counts like that of the other one.
+/// The nested call of one of two requests was not logged, so that request is counted under the
+/// cause of the other one.
 #[test]
 fn call_left_out() {
     let logs = announced() + &refused("b2.7", 5010) + &failed("b2", 5020) + &failed("b3", 5030);
@@ -105,7 +108,7 @@
 fn tables() {
     let logs = announced() + &refused("a1", 5000) + &refused("a2", 59_000);
     let output = explain(&[], &logs);
-    let text = String::from_utf8(output.stdout).expect("it is text");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     for part in ["requests", "bank", "full", "09:00:05", "09:00:59"] {
         assert!(text.contains(part), "{part} is missing: {text}");
     }
@@ -121,16 +124,16 @@
 fn files_only() {
     let folder = env!("CARGO_TARGET_TMPDIR");
     let file = format!("{folder}/ends.log");
-    std::fs::write(&file, announced() + &refused("a1", 5000)).expect("it can be written");
+    std::fs::write(&file, announced() + &refused("a1", 5000)).expect("the log can be written");
     let output = explain(&["--all", &file, "--output", "json"], "");
-    let endings: Value = serde_json::from_slice(&output.stdout).expect("it is JSON");
+    let endings: Value = serde_json::from_slice(&output.stdout).expect("the output is JSON");
     assert!(
         (requests(&endings, "bank", "full") - 1.0).abs() < 1e-9,
         "{endings}"
     );
 }
 
-/// Ends are told by workspace too, the most concerned one first.
+/// Failed requests are also listed by workspace, the one with the most of them first.
 #[test]
 fn by_workspace() {
     let over = |request: &str, workspace: &str| {
@@ -146,7 +149,7 @@
     let count = |row: &Value| row["count"]["requests"].as_f64();
     assert!((of_mills.filter_map(count).sum::<f64>() - 2.0).abs() < 1e-9);
     let output = explain(&["--all"], &logs);
-    let text = String::from_utf8(output.stdout).expect("it is text");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     let row = |name: &str| {
         text.lines()
             .position(|line| line.trim_start().starts_with(name))
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! Starts `sailtrack explain` and writes logs for it.
+//! Runs `sailtrack explain` and builds log lines for it.
 
 use std::io::Write as _;
 use std::process::{Output, Stdio};
 
 use serde_json::{Value, json};
 
-/// Runs `sailtrack explain` for a request on logs from standard input.
+/// Runs `sailtrack explain` with these arguments and `logs` on standard input.
 #[allow(
     clippy::disallowed_types,
     reason = "the test starts the program that it tests"
@@ -19,14 +19,14 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut input = child.stdin.take().expect("it is a pipe");
-    // It may have ended before it read everything.
+    let mut input = child.stdin.take().expect("standard input is a pipe");
+    // The program may exit before it has read all of its input.
     let _ = input.write_all(logs.as_bytes());
     drop(input);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the program exits")
 }
 
-/// Returns a line as a log collector hands it on, at a time in milliseconds.
+/// Returns a log line as a log collector forwards it, `millis` milliseconds after 09:00:00.
 pub fn line(node: &str, millis: u32, event: u32, message: &str, fields: &Value) -> String {
     let mut kvs = fields.clone();
     kvs["event"] = json!(event);
