--- a/crates/language/tests/commands.rs
+++ b/crates/language/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands parse, print back to themselves, and mistakes point at their column.
+//! Commands survive a round trip through parser and printer, and syntax errors name their column.
 
 use proptest::prelude::*;
 use sailtrack_language::{Command, Comparison, Condition, Subject, parse};
@@ -58,8 +58,8 @@
         comparison: Comparison::Above,
         value: "9".to_owned(),
     };
-    assert!(condition.is_met("20"));
-    assert!(!condition.is_met("8"));
+    assert!(condition.matches("20"));
+    assert!(!condition.matches("8"));
 }
 
 proptest! {
--- a/crates/node/src/node/maintenance.rs
+++ b/crates/node/src/node/maintenance.rs
@@ -241,7 +241,7 @@
                 .declaration
                 .events
                 .iter()
-                .filter(|event| event.is_near(now));
+                .filter(|event| event.is_preparing_or_active(now));
             for event in upcoming {
                 self.prepare(event).await;
             }
