--- a/crates/mesh/src/entry/receiver.rs
+++ b/crates/mesh/src/entry/receiver.rs
@@ -288,7 +288,7 @@
 /// Waits until the client closes its connection; input that arrives meanwhile stays buffered.
 async fn wait_for_disconnect(reader: &mut Reader) {
     while reader.buffered() < MAX_READ_AHEAD {
-        if !matches!(reader.fill().await, Ok(count)if count>0) {
+        if !matches!(reader.fill().await, Ok(count) if count > 0) {
             return;
         }
     }
--- a/crates/node/src/node/mod.rs
+++ b/crates/node/src/node/mod.rs
@@ -76,7 +76,9 @@
         }
     };
     monoio::select! {
-    ()=configured=>Ok(true), result=terminate.wait()=>result.map(|()|false).map_err(Error::Signal), }
+        () = configured => Ok(true),
+        result = terminate.wait() => result.map(|()| false).map_err(Error::Signal),
+    }
 }
 
 /// Serves until the node is told to stop.
